--- a/caperstack/callers/port.py
+++ b/caperstack/callers/port.py
@@ -171,7 +171,7 @@
         extra = [(self._dialect.request_id, name)]
         # Before the route is looked up: a node that has just started may hold an
         # older configuration than its peers.
-        await self._sync.until_contact()
+        await self._sync.wait_for_agreement()
         try:
             call = self._call(start, headers, body, context, name, begun)
         except _BadRequestError as error:
@@ -218,7 +218,7 @@
             reason=outcome.reason,
             asked_host=headers.get("Host", ""),
             path=start.path,
-            settings=self._settings.age,
+            settings=self._settings.routes_revision,
         )
         return outcome
 
--- a/caperstack/platform/reader.py
+++ b/caperstack/platform/reader.py
@@ -17,7 +17,7 @@
 )
 from caperstack.settings.neighbours import Topology
 from caperstack.settings.restores import RETURN_SECONDS, Restores
-from caperstack.settings.revisions import era_of, in_words, number_of
+from caperstack.settings.revisions import era_of, format_revision, number_of
 
 __all__ = ["StoreReader"]
 
@@ -154,7 +154,7 @@
             self._resume_at = deadline_after(READ_AFTER_SECONDS)
             return
         self._read_at = began
-        self._sync.tell_read(began)
+        self._sync.announce_read(began)
 
     @property
     def _starting(self):
@@ -203,8 +203,10 @@
             return
         if former:
             self._metrics.count("store_went_back")
-        old = in_words(former) if former else "unknown"
-        self._events.state("store position", old, in_words(read.revision), self._client.address)
+        old = format_revision(former) if former else "unknown"
+        self._events.state(
+            "store position", old, format_revision(read.revision), self._client.address
+        )
 
     def take_operator(self, read):
         """Take what operators have written, from a `StoreRead` that holds all of it."""
--- a/caperstack/platform/tests/test_growth.py
+++ b/caperstack/platform/tests/test_growth.py
@@ -109,7 +109,7 @@
             await asyncio.sleep(0)
             for name in SERVICES:
                 dispatcher.candidates.subset(name)
-            node.sync._touch_parents()
+            node.sync._keep_connections()
         finally:
             sys.setprofile(None)
         self.assertTrue(node.members.find(host).leaving)
--- a/caperstack/platform/tests/test_suspect_growth.py
+++ b/caperstack/platform/tests/test_suspect_growth.py
@@ -47,7 +47,7 @@
     # It reads the store, is asked for something, and waits for a peer.
     while not started.settings.known:
         await asyncio.sleep(0.001)
-    await started.sync.until_contact()
+    await started.sync.wait_for_agreement()
     verdict = started.suspects.verdict(FATAL)
     await fleet.stop()
     return figures, verdicts, cleared, verdict
--- a/caperstack/quarantine/exchange.py
+++ b/caperstack/quarantine/exchange.py
@@ -81,7 +81,7 @@
 
     def _tell(self):
         news, self._news = self._news, {}
-        hosts = self._sync.told_of_news()
+        hosts = self._sync.notification_targets()
         self._events.belief(
             "suspects",
             asks=[f"{request:016x}" for request in list(news)[:LOGGED_MOST]],
--- a/caperstack/settings/main.py
+++ b/caperstack/settings/main.py
@@ -12,7 +12,7 @@
 from caperstack.config.tree import parse_subtree, subtree_schema
 from caperstack.exception import ConfigurationError
 from caperstack.settings.compile import compile_tree
-from caperstack.settings.revisions import in_words
+from caperstack.settings.revisions import format_revision
 
 __all__ = ["main"]
 
@@ -104,11 +104,13 @@
 
 
 def _row(host, subtree):
-    held = "deleted" if subtree["deleted"] else in_words(subtree["revision"])
+    held = "deleted" if subtree["deleted"] else format_revision(subtree["revision"])
     age = wall_microseconds() / 1e6 - subtree["since_us"] / 1e6
     text = f"{host:20} {subtree['path'] or '/':24} {held:14} {age:8.1f} s, from {subtree['source']}"
     if subtree["refused_reason"]:
-        text += f"; refused {in_words(subtree['refused_revision'])}: {subtree['refused_reason']}"
+        text += (
+            f"; refused {format_revision(subtree['refused_revision'])}: {subtree['refused_reason']}"
+        )
     for problem in subtree["problems"]:
         text += f"; not in force: {problem}"
     return text
--- a/caperstack/settings/revisions.py
+++ b/caperstack/settings/revisions.py
@@ -1,6 +1,6 @@
 """Revisions that stay in order when the counter they come from is set back."""
 
-__all__ = ["ERAS", "NUMBERS", "era_of", "in_words", "number_of", "revision_in"]
+__all__ = ["ERAS", "NUMBERS", "era_of", "format_revision", "number_of", "revision_in"]
 
 #: Bits of a revision for the counter's own value, and for the era above them.
 NUMBER_BITS = 40
@@ -46,7 +46,7 @@
     return revision % NUMBERS
 
 
-def in_words(revision):
+def format_revision(revision):
     """Return a revision as a person reads it: ``revision 17``, ``revision 17 of era 2``."""
     era = era_of(revision)
     return f"revision {number_of(revision)}" + (f" of era {era}" if era > 0 else "")
--- a/caperstack/settings/store.py
+++ b/caperstack/settings/store.py
@@ -6,16 +6,16 @@
 from caperstack.exception import ConfigurationError
 from caperstack.routing.table import ANY_HOST, EffectiveService
 from caperstack.settings.digest import RevisionDigest, bucket_of
-from caperstack.settings.revisions import in_words
+from caperstack.settings.revisions import format_revision
 
-__all__ = ["Held", "SettingsStore"]
+__all__ = ["HeldSubtree", "SettingsStore"]
 
 #: The default of a service that no subtree names.
 NO_SETTINGS = EffectiveService()
 
 
 @dataclass(slots=True)
-class Held:
+class HeldSubtree:
     """A subtree as held: the revision in force and the one last refused."""
 
     path: str
@@ -59,7 +59,7 @@
         self._initial = initial or {}
         self._listeners = []
         self._digest = RevisionDigest()
-        self._highest = -1
+        self._routes_revision = -1
         self._table = codec.compile({})
         self._events = None
 
@@ -83,9 +83,9 @@
         return self._codec.complete(self._parsed())
 
     @property
-    def age(self):
+    def routes_revision(self):
         """The revision of the settings that the routes follow from, for the log."""
-        return self._highest
+        return self._routes_revision
 
     @property
     def revisions(self):
@@ -103,11 +103,11 @@
         return {p: r for p, r in self.revisions.items() if bucket_of(p) in wanted}
 
     def held(self):
-        """Return all `Held` subtrees, by path."""
+        """Return all `HeldSubtree` subtrees, by path."""
         return [self._held[path] for path in sorted(self._held)]
 
     def get(self, path):
-        """Return the `Held` subtree of that path, or ``None``."""
+        """Return the `HeldSubtree` subtree of that path, or ``None``."""
         return self._held.get(path)
 
     def wants(self, path, revision):
@@ -133,7 +133,7 @@
         """
         if not self.wants(path, revision):
             return False
-        held = self._held.setdefault(path, Held(path))
+        held = self._held.setdefault(path, HeldSubtree(path))
         try:
             if self._codec.is_overtaken(held, revision, document):
                 return False
@@ -143,14 +143,14 @@
             return False
         self._digest.change(path, held.revision, revision)
         if self._codec.dates_routes(path):
-            self._highest = max(self._highest, revision)
+            self._routes_revision = max(self._routes_revision, revision)
         held.revision = revision
         held.document = document
         held.parsed = parsed
         held.source = source
         held.since_us = wall_microseconds()
         self._metrics.count("settings_changes")
-        self._events.state(f"settings {path or '/'}", "older", in_words(revision), source)
+        self._events.state(f"settings {path or '/'}", "older", format_revision(revision), source)
         if self._codec.affects_routes(path):
             self._compile()
         for listener in self._listeners:
--- a/caperstack/settings/sync.py
+++ b/caperstack/settings/sync.py
@@ -99,7 +99,7 @@
         """Call ``listener(read_at)`` when a peer tells that the platform was read."""
         self._read_listeners.append(listener)
 
-    def tell_read(self, read_at):
+    def announce_read(self, read_at):
         """Tell all peers that the platform was read at `read_at`, and what is held since."""
         message = self._read_message(self._readings.begin(read_at), read_at)
         for host in self._connections.hosts:
@@ -136,14 +136,14 @@
     async def _care(self):
         digest_due = 0.0
         while True:
-            self._touch_parents()
+            self._keep_connections()
             self._compare_next()
             if now() >= digest_due:
                 digest_due = deadline_after(DIGEST_SECONDS * random.uniform(0.8, 1.2))
                 self._compare_digests()
             await asyncio.sleep(CARE_SECONDS * random.uniform(0.8, 1.2))
 
-    def _touch_parents(self):
+    def _keep_connections(self):
         for host in self._topology.successors(SUCCESSORS):
             self._members.find(host).owner.touch()
         # Readers join the zones: they keep to all other readers.
@@ -184,7 +184,7 @@
         """Take a message that came over a connection."""
         self._handle(message, body, host, connection)
 
-    async def until_contact(self):
+    async def wait_for_agreement(self):
         """Wait until this node agrees with a peer, or so long that none seems to be there.
 
         Notes
@@ -199,7 +199,7 @@
             return
         if next(self._topology.parents(), None) is None:
             return
-        self._touch_parents()
+        self._keep_connections()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(self._contact_until):
                 await self._agrees.wait()
@@ -343,7 +343,7 @@
     def _tell_news(self):
         """Tell a few peers what has changed in this turn of the loop."""
         news, self._news = self._news, {}
-        for host in self.told_of_news():
+        for host in self.notification_targets():
             # Whoever told it knows it.
             told = {path: held.revision for path, held in news.items() if held.source != host}
             if len(told) > TELL_EACH:
@@ -360,7 +360,7 @@
         far = [host for host in hosts if host not in near]
         return near[:TELL_NEAR] + far[:TELL_FAR]
 
-    def told_of_news(self):
+    def notification_targets(self):
         """Return the hosts to tell of news, which pass on what is new to them.
 
         Notes
--- a/caperstack/settings/tests/test_sync.py
+++ b/caperstack/settings/tests/test_sync.py
@@ -84,7 +84,7 @@
 
     async def test_calls_wait_until_the_settings_of_a_peer_have_come(self):
         """A node that starts hears a peer, and says 404 while the newer routes are on their way."""
-        waiting = asyncio.create_task(self.sync.until_contact())
+        waiting = asyncio.create_task(self.sync.wait_for_agreement())
         self.sync.take("h1", self.peers["h1"], Digest(1), b"")
         self.sync.take("h1", self.peers["h1"], Revisions({"": 5}), b"")
         await asyncio.sleep(0.02)
