--- a/caperstack/settings/comparison.py
+++ b/caperstack/settings/comparison.py
@@ -2,11 +2,11 @@
 
 from caperstack.clock import deadline_after, now
 
-__all__ = ["COMPARE_SECONDS", "Comparisons"]
+__all__ = ["COMPARISON_TIMEOUT_SECONDS", "Comparisons"]
 
 #: How long a comparison may take before the next one begins, in seconds: ten
 #: times what a body of 40 kB needs over a link of 10 Mbit/s.
-COMPARE_SECONDS = 0.3
+COMPARISON_TIMEOUT_SECONDS = 0.3
 
 
 class Comparisons:
@@ -40,7 +40,7 @@
         if host == self._host:
             self._host = None
 
-    def over(self):
+    def finish_current(self):
         """All that was wanted has come, whoever sent it: nothing is compared any more.
 
         Notes
@@ -66,5 +66,5 @@
             return None
         # The one that told last knows most likely what is new.
         self._host, _ = self._others.popitem()
-        self._until = deadline_after(COMPARE_SECONDS)
+        self._until = deadline_after(COMPARISON_TIMEOUT_SECONDS)
         return self._host
--- a/caperstack/settings/compile.py
+++ b/caperstack/settings/compile.py
@@ -64,19 +64,21 @@
     for path in sorted(subtrees, key=lambda p: (p.count("/") + bool(p), p)):
         subtree = subtrees[path]
         parent = parent_of(path)
-        problems = _outside(path, subtree, subtrees.get(parent) if parent is not None else None)
+        problems = _grant_violations(
+            path, subtree, subtrees.get(parent) if parent is not None else None
+        )
         inherited = EffectiveService() if parent is None else defaults.get(parent)
         if inherited is None:
             problems.append("the parent subtree is missing")
             inherited = EffectiveService()
-        ceiling = _tightened(bounds.get(parent, {}), subtree.bounds)
+        ceiling = _tightened_bounds(bounds.get(parent, {}), subtree.bounds)
         bounds[path] = ceiling
-        defaults[path] = _merged(inherited, subtree.defaults, ceiling)
+        defaults[path] = _merged_service(inherited, subtree.defaults, ceiling)
         if problems:
             table.problems[path] = problems
             continue
         for name, settings in subtree.services.items():
-            table.services[name] = _merged(defaults[path], settings, ceiling)
+            table.services[name] = _merged_service(defaults[path], settings, ceiling)
         for route in subtree.routes:
             table.add(_route(route))
     return table
@@ -98,7 +100,7 @@
     )
 
 
-def _outside(path, subtree, parent):
+def _grant_violations(path, subtree, parent):
     """Return what `subtree` claims beyond its grant, a list of reasons."""
     if not path:
         return []
@@ -118,17 +120,17 @@
     paths += [prefix for child in subtree.teams.values() for prefix in child.routes]
     return [
         f"service {name} is outside the subtree" for name in sorted(services - set(grant.services))
-    ] + [f"route {p} is outside the subtree" for p in paths if not _granted(p, grant.routes)]
+    ] + [f"route {p} is outside the subtree" for p in paths if not _is_granted(p, grant.routes)]
 
 
-def _granted(path, prefixes):
+def _is_granted(path, prefixes):
     return any(
         path == prefix.rstrip("/") or path.startswith(prefix.rstrip("/") + "/")
         for prefix in prefixes
     )
 
 
-def _tightened(ceiling, bounds):
+def _tightened_bounds(ceiling, bounds):
     """Return the lower of the parent's and the subtree's own ceilings."""
     result = dict(ceiling)
     for name, value in bounds.model_dump(exclude_none=True).items():
@@ -136,7 +138,7 @@
     return result
 
 
-def _merged(base, settings, ceiling):
+def _merged_service(base, settings, ceiling):
     changes = settings.model_dump(exclude_none=True)
     merged = replace(base, **changes)
     lowered = {
--- a/caperstack/settings/connections.py
+++ b/caperstack/settings/connections.py
@@ -20,7 +20,7 @@
         self._open = {}
         self._metrics = None
 
-    def count_in(self, metrics):
+    def set_metrics(self, metrics):
         """Count what could not be sent in `metrics`."""
         self._metrics = metrics
 
--- a/caperstack/settings/fetches.py
+++ b/caperstack/settings/fetches.py
@@ -4,11 +4,11 @@
 
 from caperstack.clock import deadline_after, now
 
-__all__ = ["FETCH_SECONDS", "Fetches"]
+__all__ = ["FETCH_TIMEOUT_SECONDS", "Fetches"]
 
 #: How long a body that was asked for is waited for before another peer is asked, in
 #: seconds: 40 kB over a link of 5 Mbit/s, several at once.
-FETCH_SECONDS = 0.6
+FETCH_TIMEOUT_SECONDS = 0.6
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
         """Whether nothing is wanted."""
         return not self._wanted
 
-    def offer(self, host, path, revision):
+    def add_holder(self, host, path, revision):
         """Note that `host` holds a revision of `path` that is wanted here."""
         wanted = self._wanted.get(path)
         if wanted is None or revision > wanted.revision:
@@ -50,11 +50,11 @@
         for path, wanted in self._wanted.items():
             if now() >= wanted.ask_again_at and wanted.holders:
                 wanted.asked = wanted.holders.pop(0)
-                wanted.ask_again_at = deadline_after(FETCH_SECONDS)
+                wanted.ask_again_at = deadline_after(FETCH_TIMEOUT_SECONDS)
                 due.setdefault(wanted.asked, []).append(path)
         return due
 
-    def drop(self, host):
+    def forget_host(self, host):
         """Host `host` is not connected any more: what it was asked for is asked elsewhere."""
         for wanted in self._wanted.values():
             if host in wanted.holders:
--- a/caperstack/settings/neighbours.py
+++ b/caperstack/settings/neighbours.py
@@ -4,10 +4,10 @@
 
 from caperstack.membership.order import HostOrder, hash_number
 
-__all__ = ["FAN_OUT", "READERS", "Topology", "is_reader", "parents_of", "ranked"]
+__all__ = ["FAN_OUT", "READERS_PER_ZONE", "Topology", "is_reader", "parents_of", "ranked"]
 
 #: Nodes of a zone that read the configuration service.
-READERS = 2
+READERS_PER_ZONE = 2
 
 #: Nodes that have the same first parent.
 FAN_OUT = 4
@@ -28,7 +28,7 @@
     or leave it to each other: the first costs a few reads, the second ends
     when the peers' silence makes a node read for itself.
     """
-    return host in ranked(zone_hosts)[:READERS]
+    return host in ranked(zone_hosts)[:READERS_PER_ZONE]
 
 
 def parents_of(host, zone_hosts, first_hosts):
@@ -60,11 +60,13 @@
 
 def _parents(host, order, first_hosts):
     rank = order.place(host)
-    if rank < READERS:
-        yield from (order.at(place) for place in range(min(READERS, len(order))) if place != rank)
+    if rank < READERS_PER_ZONE:
+        yield from (
+            order.at(place) for place in range(min(READERS_PER_ZONE, len(order))) if place != rank
+        )
         yield from sorted(first_hosts)
         return
-    first = (rank - READERS) // FAN_OUT
+    first = (rank - READERS_PER_ZONE) // FAN_OUT
     second = hash_number(f"second {host}") % rank
     yield order.at(first)
     if second != first:
@@ -92,24 +94,24 @@
             del self._zones[member.zone]
 
     @property
-    def _own(self):
+    def _own_zone(self):
         return self._zones[self._here.zone]
 
     @property
     def reads(self):
         """Whether this node is a reader of its zone."""
-        return self._own.place(self._here.host) < READERS
+        return self._own_zone.place(self._here.host) < READERS_PER_ZONE
 
     def parents(self):
         """Yield the hosts to dial for settings, the best first; see `parents_of`."""
         others = (order for zone, order in self._zones.items() if zone != self._here.zone)
-        yield from _parents(self._here.host, self._own, (order.at(0) for order in others))
+        yield from _parents(self._here.host, self._own_zone, (order.at(0) for order in others))
 
     def successors(self, count):
         """Yield the next hosts in the order that every node computes alike, at most `count`."""
         return islice(self._ring.after(self._here.host), count)
 
-    def next_of(self, hosts, count):
+    def nearest_successors(self, hosts, count):
         """Return those of `hosts` that come next in that order, at most `count`."""
         size = len(self._ring)
         own = self._ring.place(self._here.host)
@@ -125,7 +127,7 @@
         in different zones, so the next reader in order is not cut off with the
         first.
         """
-        own = self._own.place(self._here.host)
+        own = self._own_zone.place(self._here.host)
         others = [(z, len(order)) for z, order in self._zones.items() if z != self._here.zone]
         earlier = sum(size > own and zone < self._here.zone for zone, size in others)
         return own + earlier + sum(min(size, own) for _, size in others)
--- a/caperstack/settings/reader.py
+++ b/caperstack/settings/reader.py
@@ -18,17 +18,17 @@
 READ_SECONDS = 5.0
 
 RETRY_SECONDS = 0.5
-RETRY_SECONDS_MOST = 5.0
+MAX_RETRY_SECONDS = 5.0
 
 #: Calls a second that all nodes together may make when they must read for
 #: themselves, a quarter of what the platform allows to everyone.
-FLEET_READS_PER_SECOND = 500
-READS_FOR_SELF = 3
-SELF_READ_SECONDS = 5.0
+FLEET_REQUESTS_PER_SECOND = 500
+REQUESTS_PER_DIRECT_READ = 3
+MIN_DIRECT_READ_INTERVAL_SECONDS = 5.0
 
-LOOK_SECONDS = 0.5
+ROLE_CHECK_SECONDS = 0.5
 
-MAX_VALUE = 2 * 1024 * 1024
+MAX_VALUE_BYTES = 2 * 1024 * 1024
 
 
 class SettingsReader:
@@ -46,10 +46,10 @@
     def __init__(self, here):
         self._here = here
         self._address = here.configuration
-        self._seen = 0
+        self._last_revision = 0
         self._failures = 0
         self._reachable = None
-        self._self_read_at = 0.0
+        self._direct_read_at = 0.0
         self._task = None
 
     async def start(self, kernel):
@@ -61,43 +61,48 @@
         self._metrics = kernel.find("metrics")
         self._events = kernel.find("events")
         if self._address is not None:
-            self._task = asyncio.create_task(self._read_for_ever())
+            self._task = asyncio.create_task(self._read_loop())
 
     async def stop(self):
         """Stop reading."""
         if self._task is not None:
             self._task.cancel()
 
-    async def _read_for_ever(self):
-        client = AsyncHTTPClient(max_body_size=MAX_VALUE)
+    async def _read_loop(self):
+        client = AsyncHTTPClient(max_body_size=MAX_VALUE_BYTES)
         while True:
             try:
-                await self._step(client)
+                await self._read_once(client)
             except PlatformError as error:
                 self._failures += 1
-                self._note(False, str(error))
-                wait = min(RETRY_SECONDS_MOST, RETRY_SECONDS * 2 ** min(self._failures, 8))
+                self._record_reachability(False, str(error))
+                wait = min(MAX_RETRY_SECONDS, RETRY_SECONDS * 2 ** min(self._failures, 8))
                 await asyncio.sleep(wait * random.uniform(0.5, 1.0))
 
-    async def _step(self, client):
+    async def _read_once(self, client):
         if self._topology.reads:
             await self._watch(client)
-        elif self._sync.silent and now() >= self._self_read_at:
-            self._self_read_at = deadline_after(self._pace() * random.uniform(1.0, 2.0))
+        elif self._sync.silent and now() >= self._direct_read_at:
+            self._direct_read_at = deadline_after(
+                self._direct_read_interval() * random.uniform(1.0, 2.0)
+            )
             self._metrics.count("settings_reads_for_self")
             await self._take_index(client, await self._get(client, "/v1/subtrees", READ_SECONDS))
         else:
-            await asyncio.sleep(LOOK_SECONDS * random.uniform(0.8, 1.2))
+            await asyncio.sleep(ROLE_CHECK_SECONDS * random.uniform(0.8, 1.2))
 
-    def _pace(self):
+    def _direct_read_interval(self):
         fleet = len(self._members)
-        return max(SELF_READ_SECONDS, fleet * READS_FOR_SELF / FLEET_READS_PER_SECOND)
+        return max(
+            MIN_DIRECT_READ_INTERVAL_SECONDS,
+            fleet * REQUESTS_PER_DIRECT_READ / FLEET_REQUESTS_PER_SECOND,
+        )
 
     async def _watch(self, client):
-        if self._seen == 0:
+        if self._last_revision == 0:
             index = await self._get(client, "/v1/subtrees", READ_SECONDS)
         else:
-            index = await self._get(client, f"/v1/watch?after={self._seen}", WATCH_SECONDS)
+            index = await self._get(client, f"/v1/watch?after={self._last_revision}", WATCH_SECONDS)
         await self._take_index(client, index)
 
     async def _take_index(self, client, index):
@@ -107,9 +112,9 @@
         for path in sorted(subtrees):
             if self._store.wants(path, subtrees[path]):
                 self._take(await self._get(client, f"/v1/subtrees/{quote(path)}", READ_SECONDS))
-        self._seen = max(self._seen, index.get("revision", 0))
+        self._last_revision = max(self._last_revision, index.get("revision", 0))
         self._failures = 0
-        self._note(True, "readable")
+        self._record_reachability(True, "readable")
 
     def _take(self, document):
         try:
@@ -133,7 +138,7 @@
             raise PlatformError("not a JSON object", step="read", peer=self._address)
         return document
 
-    def _note(self, reachable, text):
+    def _record_reachability(self, reachable, text):
         if reachable != self._reachable:
             self._events.state("configuration service", self._reachable, text, self._address)
             self._reachable = reachable
--- a/caperstack/settings/readings.py
+++ b/caperstack/settings/seen_reads.py
@@ -5,19 +5,19 @@
 from caperstack.clock import wall_microseconds
 from caperstack.membership.order import hash_number
 
-__all__ = ["Readings"]
+__all__ = ["SeenReads"]
 
 #: Readings that are remembered; a few a second are made in the whole fleet, and news
 #: of one goes round in less than a second.
-READINGS_MOST = 256
+MAX_SEEN_READS = 256
 
 #: A reading that began at most so long after the last one that was passed on, in
 #: seconds, is not passed on: it tells little that is new, and after a reader's death
 #: many nodes may read at once.
-NEWER_SECONDS = 0.2
+MIN_FORWARD_GAP_SECONDS = 0.2
 
 
-class Readings:
+class SeenReads:
     """Number the readings of this node, and tell new ones of others from known ones.
 
     Notes
@@ -35,13 +35,13 @@
     def __init__(self, host):
         self._host = host
         self._known = OrderedDict()
-        self._passed_on_at = 0.0
+        self._forwarded_at = 0.0
 
     def begin(self, read_at):
         """Return the number of this node's own reading, which is passed on."""
         number = hash_number(f"{self._host} {wall_microseconds()}")
         self.add(number)
-        self._passed_on_at = read_at
+        self._forwarded_at = read_at
         return number
 
     def add(self, number):
@@ -49,13 +49,13 @@
         if number in self._known:
             return False
         self._known[number] = True
-        while len(self._known) > READINGS_MOST:
+        while len(self._known) > MAX_SEEN_READS:
             self._known.popitem(last=False)
         return True
 
-    def passes_on(self, read_at):
+    def should_forward(self, read_at):
         """Return whether to pass on a new reading that began at `read_at`."""
-        if read_at < self._passed_on_at + NEWER_SECONDS:
+        if read_at < self._forwarded_at + MIN_FORWARD_GAP_SECONDS:
             return False
-        self._passed_on_at = read_at
+        self._forwarded_at = read_at
         return True
--- a/caperstack/settings/sync.py
+++ b/caperstack/settings/sync.py
@@ -10,23 +10,23 @@
 from caperstack.clock import deadline_after, now
 from caperstack.exception import FrameError, PeerError
 from caperstack.peers.messages import Buckets, Digest, Fetch, Revisions, SubtreeBody
-from caperstack.settings.bodies import MAX_BODY, pack, unpack
+from caperstack.settings.bodies import MAX_BODY_BYTES, pack, unpack
 from caperstack.settings.comparison import Comparisons
 from caperstack.settings.connections import SettingsConnections
 from caperstack.settings.digest import BUCKETS
-from caperstack.settings.fetches import FETCH_SECONDS, Fetches
+from caperstack.settings.fetches import FETCH_TIMEOUT_SECONDS, Fetches
 from caperstack.settings.neighbours import Topology
-from caperstack.settings.readings import Readings
 from caperstack.settings.restores import Restores
+from caperstack.settings.seen_reads import SeenReads
 
 __all__ = ["SettingsSync"]
 
 #: How often parents are looked after, and how often digests are compared.
-CARE_SECONDS = 1.0
+MAINTENANCE_SECONDS = 1.0
 DIGEST_SECONDS = 5.0
 
 #: Parents that are kept connected.
-PARENTS = 2
+CONNECTED_PARENTS = 2
 
 #: Hosts next in the order of all hosts that each node keeps connected, whatever
 #: its zone.  Failure: a node starts, cannot reach the platform and knows
@@ -38,24 +38,24 @@
 #: zone and of other zones; they tell others, and digests reach the rest.
 #: Failure: a configuration of 1,400 routes is asked for by 72 peers at once from
 #: the node that read it, and its link of 10 Mbit/s is full for seconds.
-TELL_ALL = 16
-TELL_NEAR = 2
-TELL_FAR = 1
+MAX_PEERS_NOTIFIED_DIRECTLY = 16
+NOTIFIED_SAME_ZONE = 2
+NOTIFIED_OTHER_ZONES = 1
 
 #: Changes of one turn beyond this many are told by the digest alone.  A node that
 #: starts takes in the whole fleet at once; its peers know most of it, and what
 #: they lack a comparison shows.
-TELL_EACH = 16
+MAX_REVISIONS_PER_NOTICE = 16
 
 #: How long a starting node waits for a neighbour to agree with, in seconds.
-FIRST_CONTACT_SECONDS = 2.0
+START_TIMEOUT_SECONDS = 2.0
 
 #: How long after its start a node holds calls until it agrees with a peer, in seconds;
 #: a connection takes some milliseconds where one lives.
-CONTACT_SECONDS = 1.0
+HOLD_CALLS_SECONDS = 1.0
 
 #: Silence of all peers after which a node no longer counts on them.
-SILENT_SECONDS = 12.0
+SILENCE_SECONDS = 12.0
 
 
 class SettingsSync:
@@ -88,12 +88,12 @@
         self._tasks = set()
         self._task = None
         self._fetches = Fetches()
-        self._readings = Readings(here.host)
+        self._seen_reads = SeenReads(here.host)
         self._read_listeners = []
         self._agrees = asyncio.Event()
-        self._contact_until = 0.0
+        self._hold_until = 0.0
         self._comparisons = Comparisons()
-        self._news = {}
+        self._changes = {}
 
     def on_read(self, listener):
         """Call ``listener(read_at)`` when a peer tells that the platform was read."""
@@ -101,7 +101,7 @@
 
     def announce_read(self, read_at):
         """Tell all peers that the platform was read at `read_at`, and what is held since."""
-        message = self._read_message(self._readings.begin(read_at), read_at)
+        message = self._read_message(self._seen_reads.begin(read_at), read_at)
         for host in self._connections.hosts:
             self._connections.send(host, message)
 
@@ -115,17 +115,17 @@
         self._store = kernel.find("settings")
         self._members = kernel.find("members")
         self._metrics = kernel.find("metrics")
-        self._connections.count_in(self._metrics)
+        self._connections.set_metrics(self._metrics)
         self._topology = Topology(self._here, self._members)
-        self._heard_until = deadline_after(random.uniform(0.2, 0.5) * SILENT_SECONDS)
+        self._heard_until = deadline_after(random.uniform(0.2, 0.5) * SILENCE_SECONDS)
         kernel.find("links").hook(self)
         kernel.find("peer port").hook(self)
-        self._contact_until = deadline_after(CONTACT_SECONDS)
+        self._hold_until = deadline_after(HOLD_CALLS_SECONDS)
         self._store.listen(self._on_change)
-        self._task = asyncio.create_task(self._care())
+        self._task = asyncio.create_task(self._maintenance_loop())
         if next(self._topology.parents(), None) is not None:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._agrees.wait(), FIRST_CONTACT_SECONDS)
+                await asyncio.wait_for(self._agrees.wait(), START_TIMEOUT_SECONDS)
 
     async def stop(self):
         """Stop looking after parents."""
@@ -133,21 +133,21 @@
 
     # -- neighbours -------------------------------------------------------
 
-    async def _care(self):
+    async def _maintenance_loop(self):
         digest_due = 0.0
         while True:
             self._keep_connections()
             self._compare_next()
             if now() >= digest_due:
                 digest_due = deadline_after(DIGEST_SECONDS * random.uniform(0.8, 1.2))
-                self._compare_digests()
-            await asyncio.sleep(CARE_SECONDS * random.uniform(0.8, 1.2))
+                self._send_digests()
+            await asyncio.sleep(MAINTENANCE_SECONDS * random.uniform(0.8, 1.2))
 
     def _keep_connections(self):
         for host in self._topology.successors(SUCCESSORS):
             self._members.find(host).owner.touch()
         # Readers join the zones: they keep to all other readers.
-        missing = None if self._topology.reads else PARENTS
+        missing = None if self._topology.reads else CONNECTED_PARENTS
         for host in self._topology.parents():
             member = self._members.find(host)
             member.owner.touch()
@@ -156,7 +156,7 @@
                 if missing == 0:
                     return
 
-    def _compare_digests(self):
+    def _send_digests(self):
         message = Digest(self._store.digest.value)
         for host in self._connections.hosts:
             self._connections.send(host, message)
@@ -169,7 +169,7 @@
     def closed(self, host):
         """A connection is down."""
         if not self._connections.drop_closed(host):
-            self._fetches.drop(host)
+            self._fetches.forget_host(host)
             self._ask_due()
             self._comparisons.agrees(host)
             self._compare_next()
@@ -195,23 +195,23 @@
         keep away; one of these ends the server beside it.  A new peer tells that before
         it speaks of settings, so whoever agrees on settings knows it.
         """
-        if self._agrees.is_set() or now() >= self._contact_until:
+        if self._agrees.is_set() or now() >= self._hold_until:
             return
         if next(self._topology.parents(), None) is None:
             return
         self._keep_connections()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(self._contact_until):
+            async with asyncio.timeout_at(self._hold_until):
                 await self._agrees.wait()
 
-    def _hear(self):
-        self._heard_until = deadline_after(SILENT_SECONDS)
+    def _record_activity(self):
+        self._heard_until = deadline_after(SILENCE_SECONDS)
 
     @_handle.register
     def _(self, message: Digest, body, host, connection):
-        self._hear()
+        self._record_activity()
         if message.reading:
-            self._hear_read(message, connection)
+            self._handle_read_notice(message, connection)
         if message.value == self._store.digest.value:
             self._agrees.set()
             self._comparisons.agrees(host)
@@ -229,7 +229,7 @@
 
     @_handle.register
     def _(self, message: Buckets, body, host, connection):
-        self._hear()
+        self._record_activity()
         mine = self._store.digest
         if message.value == mine.value:
             self._connections.send_over(connection, Digest(mine.value))
@@ -242,7 +242,7 @@
             connection, Revisions(self._store.revisions_in(buckets), buckets)
         )
 
-    def _hear_read(self, message, connection):
+    def _handle_read_notice(self, message, connection):
         """Take note of a reading, and pass the word on if it is new here.
 
         Notes
@@ -250,7 +250,7 @@
         A reader is connected to some of a large fleet. Its word goes round by
         the three successors of each node; an old word is not passed on again.
         """
-        if not self._readings.add(message.reading):
+        if not self._seen_reads.add(message.reading):
             return
         lateness = connection.transit.lateness(message.sent_us / 1e6, connection.arrival)
         sent_at = connection.arrival - lateness
@@ -259,7 +259,7 @@
         self._metrics.time("reading_age_seconds", now() - read_at, "heard")
         for listener in self._read_listeners:
             listener(read_at)
-        if not self._readings.passes_on(read_at):
+        if not self._seen_reads.should_forward(read_at):
             return
         message = self._read_message(message.reading, read_at)
         # A host that is not listed has a place in nobody's order.
@@ -277,10 +277,10 @@
 
     @_handle.register
     def _(self, message: Revisions, body, host, connection):
-        self._hear()
+        self._record_activity()
         wanted = {p: r for p, r in message.revisions.items() if self._store.wants(p, r)}
         for path, revision in wanted.items():
-            self._fetches.offer(host, path, revision)
+            self._fetches.add_holder(host, path, revision)
         self._ask_due()
         if message.buckets:
             mine = self._store.revisions_in(message.buckets)
@@ -298,7 +298,7 @@
         for host, paths in due.items():
             self._connections.send(host, Fetch(paths))
         if due:
-            asyncio.get_running_loop().call_later(FETCH_SECONDS, self._ask_due)
+            asyncio.get_running_loop().call_later(FETCH_TIMEOUT_SECONDS, self._ask_due)
 
     @_handle.register
     def _(self, message: Fetch, body, host, connection):
@@ -309,8 +309,8 @@
 
     @_handle.register
     def _(self, message: SubtreeBody, body, host, connection):
-        self._hear()
-        if message.size > MAX_BODY:
+        self._record_activity()
+        if message.size > MAX_BODY_BYTES:
             self._metrics.count("settings_bodies_refused")
             return
         try:
@@ -321,7 +321,7 @@
         self._fetches.done(message.path, message.revision)
         if self._fetches.idle:
             self._agrees.set()
-            self._comparisons.over()
+            self._comparisons.finish_current()
             self._compare_next()
 
     async def _send_body(self, held, connection, host):
@@ -336,29 +336,29 @@
             self._metrics.count("unsent_notices")
 
     def _on_change(self, held):
-        if not self._news:
-            asyncio.get_running_loop().call_soon(self._tell_news)
-        self._news[held.path] = held
+        if not self._changes:
+            asyncio.get_running_loop().call_soon(self._notify_changes)
+        self._changes[held.path] = held
 
-    def _tell_news(self):
+    def _notify_changes(self):
         """Tell a few peers what has changed in this turn of the loop."""
-        news, self._news = self._news, {}
+        news, self._changes = self._changes, {}
         for host in self.notification_targets():
             # Whoever told it knows it.
             told = {path: held.revision for path, held in news.items() if held.source != host}
-            if len(told) > TELL_EACH:
+            if len(told) > MAX_REVISIONS_PER_NOTICE:
                 self._connections.send(host, Digest(self._store.digest.value))
             elif told:
                 self._connections.send(host, Revisions(told))
 
-    def _told_first(self, hosts):
+    def _initial_targets(self, hosts):
         """Return those of the connected `hosts` that are told of a change at once."""
-        if len(hosts) <= TELL_ALL:
+        if len(hosts) <= MAX_PEERS_NOTIFIED_DIRECTLY:
             return hosts
         random.shuffle(hosts)
         near = [host for host in hosts if self._zone_of(host) == self._here.zone]
         far = [host for host in hosts if host not in near]
-        return near[:TELL_NEAR] + far[:TELL_FAR]
+        return near[:NOTIFIED_SAME_ZONE] + far[:NOTIFIED_OTHER_ZONES]
 
     def notification_targets(self):
         """Return the hosts to tell of news, which pass on what is new to them.
@@ -369,8 +369,10 @@
         whole fleet; a few picked by chance alone miss a node now and then.
         """
         connected = self._connections.hosts
-        hosts = self._told_first(connected)
-        return list(dict.fromkeys((*hosts, *self._topology.next_of(connected, SUCCESSORS))))
+        hosts = self._initial_targets(connected)
+        return list(
+            dict.fromkeys((*hosts, *self._topology.nearest_successors(connected, SUCCESSORS)))
+        )
 
     def connections_to(self, host):
         """Return the open connections to a host, a list."""
--- a/caperstack/settings/tests/test_comparison.py
+++ b/caperstack/settings/tests/test_comparison.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from caperstack.clock import use_source
-from caperstack.settings.comparison import COMPARE_SECONDS, Comparisons
+from caperstack.settings.comparison import COMPARISON_TIMEOUT_SECONDS, Comparisons
 from caperstack.settings.digest import RevisionDigest, bucket_of
 
 PATHS = st.dictionaries(st.text("abc/", max_size=6), st.integers(0, 50), max_size=20)
@@ -36,7 +36,7 @@
             comparisons.differs("live", 8)
             comparisons.differs("dead", 7)
             self.assertEqual(comparisons.begin(mine=1), "dead")
-            moment[0] += COMPARE_SECONDS
+            moment[0] += COMPARISON_TIMEOUT_SECONDS
             self.assertEqual(comparisons.begin(mine=1), "live")
 
     def test_peer_that_is_gone_is_left_out(self):
--- a/caperstack/settings/tests/test_store.py
+++ b/caperstack/settings/tests/test_store.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from caperstack.settings.compile import TreeCodec, compile_tree
-from caperstack.settings.neighbours import READERS, is_reader, parents_of, ranked
+from caperstack.settings.neighbours import READERS_PER_ZONE, is_reader, parents_of, ranked
 from caperstack.settings.store import SettingsStore
 
 
@@ -132,7 +132,7 @@
     def test_every_node_hangs_on_a_reader(self, hosts):
         order = ranked(hosts)
         readers = {host for host in hosts if is_reader(host, hosts)}
-        self.assertEqual(len(readers), min(READERS, len(hosts)))
+        self.assertEqual(len(readers), min(READERS_PER_ZONE, len(hosts)))
         for host in hosts - readers:
             parents = parents_of(host, hosts, [])
             self.assertTrue(all(order.index(p) < order.index(host) for p in parents))
--- a/caperstack/settings/tests/test_sync.py
+++ b/caperstack/settings/tests/test_sync.py
@@ -9,10 +9,15 @@
 
 from caperstack.clock import TransitClock
 from caperstack.peers.messages import Buckets, Digest, Fetch, Revisions, SubtreeBody
-from caperstack.settings.bodies import MAX_BODY, pack
+from caperstack.settings.bodies import MAX_BODY_BYTES, pack
 from caperstack.settings.compile import TreeCodec
 from caperstack.settings.store import SettingsStore
-from caperstack.settings.sync import SUCCESSORS, TELL_FAR, TELL_NEAR, SettingsSync
+from caperstack.settings.sync import (
+    NOTIFIED_OTHER_ZONES,
+    NOTIFIED_SAME_ZONE,
+    SUCCESSORS,
+    SettingsSync,
+)
 
 ROUTES = {"routes": [{"path": "/a", "service": "s"}]}
 
@@ -56,7 +61,7 @@
         kernel = SimpleNamespace(find=services.__getitem__)
         await self.store.start(kernel)
         self.sync = SettingsSync(SimpleNamespace(host="h0", zone="a"))
-        with mock.patch("caperstack.settings.sync.FIRST_CONTACT_SECONDS", 0.0):
+        with mock.patch("caperstack.settings.sync.START_TIMEOUT_SECONDS", 0.0):
             await self.sync.start(kernel)
         self.addAsyncCleanup(self.sync.stop)
         self.heard = []
@@ -77,9 +82,9 @@
         await asyncio.sleep(0)
         told = set(self.told(Revisions))
         near = [host for host in told if int(host[1:]) % 2 == 0]
-        self.assertGreaterEqual(len(near), TELL_NEAR)
-        self.assertGreaterEqual(len(told) - len(near), TELL_FAR)
-        self.assertLessEqual(len(told), TELL_NEAR + TELL_FAR + SUCCESSORS)
+        self.assertGreaterEqual(len(near), NOTIFIED_SAME_ZONE)
+        self.assertGreaterEqual(len(told) - len(near), NOTIFIED_OTHER_ZONES)
+        self.assertLessEqual(len(told), NOTIFIED_SAME_ZONE + NOTIFIED_OTHER_ZONES + SUCCESSORS)
         self.assertLessEqual(set(self.sync._topology.successors(SUCCESSORS)), told)
 
     async def test_calls_wait_until_the_settings_of_a_peer_have_come(self):
@@ -104,8 +109,8 @@
 
     async def test_body_is_asked_elsewhere_when_it_does_not_come(self):
         """The peer that was asked has gone silent, and nobody tells of that revision again."""
-        with mock.patch("caperstack.settings.sync.FETCH_SECONDS", 0.01):
-            with mock.patch("caperstack.settings.fetches.FETCH_SECONDS", 0.01):
+        with mock.patch("caperstack.settings.sync.FETCH_TIMEOUT_SECONDS", 0.01):
+            with mock.patch("caperstack.settings.fetches.FETCH_TIMEOUT_SECONDS", 0.01):
                 for host in ("h1", "h2"):
                     self.sync.take(host, self.peers[host], Revisions({"": 5}), b"")
             await asyncio.sleep(0.1)
@@ -140,7 +145,7 @@
         self.assertEqual(self.told(Fetch), ["h1"])
 
     async def test_peer_that_does_not_send_is_replaced(self):
-        with mock.patch("caperstack.settings.fetches.FETCH_SECONDS", 0.0):
+        with mock.patch("caperstack.settings.fetches.FETCH_TIMEOUT_SECONDS", 0.0):
             for host in ("h1", "h2"):
                 self.sync.take(host, self.peers[host], Revisions({"": 5}), b"")
         self.assertEqual(self.told(Fetch), ["h1", "h2"])
@@ -170,7 +175,7 @@
 
     async def test_body_that_unpacks_without_end_is_refused(self):
         # Rubbish of 2 kB that unpacks to gigabytes must not fill the memory.
-        bomb = zlib.compress(bytes(2 * MAX_BODY))
+        bomb = zlib.compress(bytes(2 * MAX_BODY_BYTES))
         message = SubtreeBody(1, len(bomb), "", 9, False)
         with self.assertRaises(Exception) as caught:
             self.sync.take("h1", self.peers["h1"], message, bomb)
