--- a/caperstack/platform/standin/modelstore.py
+++ b/caperstack/platform/standin/modelstore.py
@@ -10,7 +10,7 @@
 from caperstack.exception import HistoryError, PlatformError
 from caperstack.platform.standin.store import StoreCopy
 from caperstack.platform.store import StoreChanges, StoreItem, StoreRead
-from caperstack.settings.revisions import era_of, number_of, revision_in
+from caperstack.settings.revisions import era_of, number_of, make_revision
 
 __all__ = ["ModelStore"]
 
@@ -118,13 +118,13 @@
 
     @property
     def _revision(self):
-        return revision_in(self._store.era, self._store.revision)
+        return make_revision(self._store.era, self._store.revision)
 
     def _items(self, prefix):
         era = self._store.era
         for item in self._store.items(prefix):
             yield replace(
                 item,
-                revision=revision_in(era, item.revision),
-                created=revision_in(era, item.created),
+                revision=make_revision(era, item.revision),
+                created=make_revision(era, item.created),
             )
--- a/caperstack/platform/store.py
+++ b/caperstack/platform/store.py
@@ -13,7 +13,7 @@
 from caperstack.clock import time_left
 from caperstack.exception import HistoryError, PlatformError
 from caperstack.platform.names import STORE_ERA
-from caperstack.settings.revisions import ERAS, NUMBERS, era_of, number_of, revision_in
+from caperstack.settings.revisions import ERAS, NUMBERS, era_of, number_of, make_revision
 
 __all__ = ["StoreChanges", "StoreClient", "StoreItem", "StoreRead"]
 
@@ -69,7 +69,7 @@
     """One item, with the revisions of its last change and of its creation.
 
     Revisions here and below are in order over all eras of the store, see
-    `caperstack.settings.revisions.revision_in`.
+    `caperstack.settings.revisions.make_revision`.
 
     Attributes
     ----------
@@ -164,7 +164,7 @@
         for _ in range(PAGES_MOST):
             page, era = await self._page(prefix, after, stale)
             if revision is None:
-                revision = revision_in(era, page.revision)
+                revision = make_revision(era, page.revision)
             elif era != era_of(revision):
                 raise PlatformError("restored between pages", step="read", peer=self._address)
             items += [_store_item(item, era) for item in page.items]
@@ -205,7 +205,7 @@
             # The number may be given out again: what was written below it is not told.
             raise HistoryError("another era", step="watch", peer=self._address)
         items = [_store_item(event, era) for event in page.events]
-        return StoreChanges(items, revision_in(era, page.revision))
+        return StoreChanges(items, make_revision(era, page.revision))
 
     async def _page(self, prefix, after, stale):
         query = {"prefix": prefix}
@@ -265,7 +265,7 @@
     return StoreItem(
         item.key,
         value,
-        revision_in(era, item.revision),
-        revision_in(era, item.created),
+        make_revision(era, item.revision),
+        make_revision(era, item.created),
         deleted,
     )
--- a/caperstack/platform/tests/test_restore.py
+++ b/caperstack/platform/tests/test_restore.py
@@ -19,7 +19,7 @@
 from caperstack.platform.tests.fleetcase import FleetCase
 from caperstack.platform.tests.readercase import BORN, ReaderCase, registered
 from caperstack.play.virtual import run_virtual
-from caperstack.settings.revisions import revision_in
+from caperstack.settings.revisions import make_revision
 
 #: How soon after its acknowledgement a configuration is in force, in seconds.
 IN_FORCE_SECONDS = 2.0
@@ -42,7 +42,7 @@
         return [call.args[1:3] for call in calls if call.args[0] == subject]
 
     def read_at(self, revision, era, items=()):
-        read = StoreRead(list(items), revision_in(era, revision))
+        read = StoreRead(list(items), make_revision(era, revision))
         self.reader._client.read = mock.AsyncMock(return_value=read)
         asyncio.run(self.reader._read(0.0, stale=False))
 
@@ -104,7 +104,7 @@
         self.clock.return_value = 1000.0
 
     def read_at(self, era, revision, *items):
-        read = StoreRead(list(items), revision_in(era, revision))
+        read = StoreRead(list(items), make_revision(era, revision))
         self.reader._note_position(read)
         self.reader.take_operator(read)
         self.reader._take_servers(read)
@@ -113,10 +113,10 @@
         document = registered(1, **changes)
         document["status"]["state"] = state
         value = json.dumps(document).encode()
-        return StoreItem(self.KEY, value, revision_in(era, revision), revision_in(era, created))
+        return StoreItem(self.KEY, value, make_revision(era, revision), make_revision(era, created))
 
     def mark_at(self, era, revision):
-        return StoreItem(self.MARK, b"", revision_in(era, revision), revision_in(era, revision))
+        return StoreItem(self.MARK, b"", make_revision(era, revision), make_revision(era, revision))
 
     def wait(self, seconds):
         self.clock.return_value += seconds
@@ -166,7 +166,7 @@
     def test_node_that_starts_takes_nothing_for_gone_at_once(self):
         """A node starts beside the copy, and tells all that a server which it lacks is gone."""
         document = decode_entry(self.KEY, self.entry_at(0, 20).value, 4)
-        self.settings.take(self.KEY, revision_in(0, 20), document, "peer")
+        self.settings.take(self.KEY, make_revision(0, 20), document, "peer")
         self.read_at(1, 16)
         self.assertIsNotNone(self.held)
 
@@ -203,17 +203,17 @@
     def test_peer_that_has_just_started_lifts_no_leaving_mark(self):
         """A node starts, reads the copy, and tells its peers that a leaving server is ready."""
         self.read_at(0, 20, self.entry_at(0, 20, "draining"))
-        document = decode_entry(self.KEY, self.entry_at(1, 15).value, revision_in(1, 4))
-        self.assertFalse(self.settings.take(self.KEY, revision_in(1, 15), document, "peer"))
+        document = decode_entry(self.KEY, self.entry_at(1, 15).value, make_revision(1, 4))
+        self.assertFalse(self.settings.take(self.KEY, make_revision(1, 15), document, "peer"))
         self.assertTrue(self.held.leaving)
         self.wait(8.0)
-        self.assertTrue(self.settings.take(self.KEY, revision_in(1, 15), document, "peer"))
+        self.assertTrue(self.settings.take(self.KEY, make_revision(1, 15), document, "peer"))
 
     def test_peer_that_has_just_started_brings_no_server_back(self):
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(0, 21)
-        document = decode_entry(self.KEY, self.entry_at(1, 15).value, revision_in(1, 4))
-        self.assertFalse(self.settings.take(self.KEY, revision_in(1, 15), document, "peer"))
+        document = decode_entry(self.KEY, self.entry_at(1, 15).value, make_revision(1, 4))
+        self.assertFalse(self.settings.take(self.KEY, make_revision(1, 15), document, "peer"))
         self.assertIsNone(self.held)
 
     def test_server_that_stays_listed_after_a_restore_is_called_again(self):
@@ -245,7 +245,7 @@
     def test_of_two_servers_at_an_address_the_one_created_later_holds_it(self):
         """The revision of a creation is given out again, and the later server looks older."""
         former = ServerEntry("a", "s", "10.0.0.1:1", "10.0.0.1", "a", 8, False, 20)
-        later = replace(former, instance="b", created=revision_in(1, 16))
+        later = replace(former, instance="b", created=make_revision(1, 16))
         self.assertGreater(later.order, former.order)
 
     def test_evacuation_at_a_lower_revision(self):
@@ -276,7 +276,7 @@
         """A peer that slept tells of an entry from before the restore, at a higher number."""
         self.read_at(1, 18, self.entry_at(1, 18, "draining"))
         document = decode_entry(self.KEY, self.entry_at(0, 25).value, 4)
-        self.assertFalse(self.settings.take(self.KEY, revision_in(0, 25), document, "peer"))
+        self.assertFalse(self.settings.take(self.KEY, make_revision(0, 25), document, "peer"))
         self.assertTrue(self.held.leaving)
 
 
--- a/caperstack/settings/comparison.py
+++ b/caperstack/settings/comparison.py
@@ -23,16 +23,16 @@
 
     def __init__(self):
         self._host = None
-        self._until = 0.0
-        self._others = {}
+        self._deadline = 0.0
+        self._different = {}
 
     def differs(self, host, value):
         """Note that `host` holds something else, by the digest `value` that it told."""
-        self._others[host] = value
+        self._different[host] = value
 
     def agrees(self, host):
         """Note that `host` holds the same, or is not connected any more."""
-        self._others.pop(host, None)
+        self._different.pop(host, None)
         self.done(host)
 
     def done(self, host):
@@ -51,20 +51,22 @@
         """
         self._host = None
 
-    def begin(self, mine):
+    def begin(self, own_digest):
         """Return the host to compare with next, or ``None``.
 
         Parameters
         ----------
-        mine : int
+        own_digest : int
             This node's digest; peers that told the same need no comparison.
         """
-        if self._host is not None and now() < self._until:
+        if self._host is not None and now() < self._deadline:
             return None
-        self._others = {host: value for host, value in self._others.items() if value != mine}
-        if not self._others:
+        self._different = {
+            host: value for host, value in self._different.items() if value != own_digest
+        }
+        if not self._different:
             return None
         # The one that told last knows most likely what is new.
-        self._host, _ = self._others.popitem()
-        self._until = deadline_after(COMPARISON_TIMEOUT_SECONDS)
+        self._host, _ = self._different.popitem()
+        self._deadline = deadline_after(COMPARISON_TIMEOUT_SECONDS)
         return self._host
--- a/caperstack/settings/main.py
+++ b/caperstack/settings/main.py
@@ -18,7 +18,7 @@
 
 EXIT_REFUSED = 1
 EXIT_BAD_ARGUMENTS = 2
-ASK_SECONDS = 3.0
+NODE_TIMEOUT_SECONDS = 3.0
 POLL_SECONDS = 0.2
 
 
@@ -57,7 +57,7 @@
     return {name: parse_subtree(name, document) for name, document in documents.items()}
 
 
-def _effect(subtrees):
+def _effective_lines(subtrees):
     """Return what follows from subtrees as sorted lines of text."""
     table = compile_tree(subtrees)
     lines = [
@@ -72,7 +72,7 @@
 
 
 def _check(options):
-    lines, problems = _effect(_read_tree(options.tree))
+    lines, problems = _effective_lines(_read_tree(options.tree))
     for line in lines:
         print(line)
     for path, reasons in problems.items():
@@ -82,8 +82,8 @@
 
 
 def _diff(options):
-    old, _ = _effect(_read_tree(options.old))
-    new, _ = _effect(_read_tree(options.new))
+    old, _ = _effective_lines(_read_tree(options.old))
+    new, _ = _effective_lines(_read_tree(options.new))
     for line in difflib.unified_diff(old, new, options.old, options.new, lineterm="", n=0):
         print(line)
     return 0
@@ -94,16 +94,16 @@
     return 0
 
 
-async def _ask(address):
+async def _fetch_settings(address):
     try:
-        reply = await request(address, "GET", "/settings", seconds=ASK_SECONDS)
+        reply = await request(address, "GET", "/settings", seconds=NODE_TIMEOUT_SECONDS)
         return json.loads(reply.body)
     except Exception as error:
         # A node that cannot be asked is a line in the answer.
         return {"host": address, "subtrees": [], "problem": f"{type(error).__name__}: {error}"}
 
 
-def _row(host, subtree):
+def _format_row(host, subtree):
     held = "deleted" if subtree["deleted"] else format_revision(subtree["revision"])
     age = wall_microseconds() / 1e6 - subtree["since_us"] / 1e6
     text = f"{host:20} {subtree['path'] or '/':24} {held:14} {age:8.1f} s, from {subtree['source']}"
@@ -122,10 +122,10 @@
             print(f"{answer['host']:20} cannot be asked: {answer['problem']}")
         for subtree in answer["subtrees"]:
             if only is None or subtree["path"] == only:
-                print(_row(answer["host"], subtree))
+                print(_format_row(answer["host"], subtree))
 
 
-def _all_at(answers, path, revision):
+def _all_have_reached(answers, path, revision):
     return all(
         any(s["path"] == path and s["revision"] >= revision for s in answer["subtrees"])
         for answer in answers
@@ -137,8 +137,8 @@
     path = (options.subtree or "").strip("/")
     only = None if options.subtree is None else path
     while True:
-        answers = await asyncio.gather(*(_ask(address) for address in options.operators))
-        done = options.until is None or _all_at(answers, path, options.until)
+        answers = await asyncio.gather(*(_fetch_settings(address) for address in options.operators))
+        done = options.until is None or _all_have_reached(answers, path, options.until)
         if done or now() > limit:
             _print_status(answers, only)
             return 0 if done else EXIT_REFUSED
@@ -146,21 +146,21 @@
 
 
 async def _show(options):
-    print(json.dumps(await _ask(options.operator), indent=2))
+    print(json.dumps(await _fetch_settings(options.operator), indent=2))
     return 0
 
 
-_COMMANDS = {"check": _check, "diff": _diff, "schema": _schema}
-_ASKING = {"show": _show, "status": _status}
+_LOCAL_COMMANDS = {"check": _check, "diff": _diff, "schema": _schema}
+_NODE_COMMANDS = {"show": _show, "status": _status}
 
 
 def main(arguments=None):
     """Run the command line; return the exit status."""
     options = _parser().parse_args(arguments)
     try:
-        if options.command in _ASKING:
-            return asyncio.run(_ASKING[options.command](options))
-        return _COMMANDS[options.command](options)
+        if options.command in _NODE_COMMANDS:
+            return asyncio.run(_NODE_COMMANDS[options.command](options))
+        return _LOCAL_COMMANDS[options.command](options)
     except (OSError, ConfigurationError) as error:
         print(f"caperstack-settings: {error}", file=sys.stderr)
         return EXIT_BAD_ARGUMENTS
--- a/caperstack/settings/revisions.py
+++ b/caperstack/settings/revisions.py
@@ -1,6 +1,6 @@
 """Revisions that stay in order when the counter they come from is set back."""
 
-__all__ = ["ERAS", "NUMBERS", "era_of", "format_revision", "number_of", "revision_in"]
+__all__ = ["ERAS", "NUMBERS", "era_of", "format_revision", "number_of", "make_revision"]
 
 #: Bits of a revision for the counter's own value, and for the era above them.
 NUMBER_BITS = 40
@@ -11,7 +11,7 @@
 ERAS = 1 << ERA_BITS
 
 
-def revision_in(era, number):
+def make_revision(era, number):
     """Return the revision that orders by `era` first, then by `number`.
 
     Parameters
--- a/caperstack/settings/sync.py
+++ b/caperstack/settings/sync.py
@@ -84,7 +84,7 @@
         self._restores = restores or Restores()
         self._connections = SettingsConnections()
         self._numbers = itertools.count(1)
-        self._heard_until = 0.0
+        self._active_until = 0.0
         self._tasks = set()
         self._task = None
         self._fetches = Fetches()
@@ -108,7 +108,7 @@
     @property
     def silent(self):
         """Whether no peer has spoken of settings lately."""
-        return now() > self._heard_until
+        return now() > self._active_until
 
     async def start(self, kernel):
         """Follow links, connections and changes."""
@@ -117,7 +117,7 @@
         self._metrics = kernel.find("metrics")
         self._connections.set_metrics(self._metrics)
         self._topology = Topology(self._here, self._members)
-        self._heard_until = deadline_after(random.uniform(0.2, 0.5) * SILENCE_SECONDS)
+        self._active_until = deadline_after(random.uniform(0.2, 0.5) * SILENCE_SECONDS)
         kernel.find("links").hook(self)
         kernel.find("peer port").hook(self)
         self._hold_until = deadline_after(HOLD_CALLS_SECONDS)
@@ -170,7 +170,7 @@
         """A connection is down."""
         if not self._connections.drop_closed(host):
             self._fetches.forget_host(host)
-            self._ask_due()
+            self._send_due_fetches()
             self._comparisons.agrees(host)
             self._compare_next()
 
@@ -205,7 +205,7 @@
                 await self._agrees.wait()
 
     def _record_activity(self):
-        self._heard_until = deadline_after(SILENCE_SECONDS)
+        self._active_until = deadline_after(SILENCE_SECONDS)
 
     @_handle.register
     def _(self, message: Digest, body, host, connection):
@@ -281,7 +281,7 @@
         wanted = {p: r for p, r in message.revisions.items() if self._store.wants(p, r)}
         for path, revision in wanted.items():
             self._fetches.add_holder(host, path, revision)
-        self._ask_due()
+        self._send_due_fetches()
         if message.buckets:
             mine = self._store.revisions_in(message.buckets)
             higher = {p: r for p, r in mine.items() if r > message.revisions.get(p, -1)}
@@ -293,12 +293,12 @@
                 self._comparisons.done(host)
                 self._compare_next()
 
-    def _ask_due(self):
+    def _send_due_fetches(self):
         due = self._fetches.take_due()
         for host, paths in due.items():
             self._connections.send(host, Fetch(paths))
         if due:
-            asyncio.get_running_loop().call_later(FETCH_TIMEOUT_SECONDS, self._ask_due)
+            asyncio.get_running_loop().call_later(FETCH_TIMEOUT_SECONDS, self._send_due_fetches)
 
     @_handle.register
     def _(self, message: Fetch, body, host, connection):
--- a/caperstack/settings/tests/test_comparison.py
+++ b/caperstack/settings/tests/test_comparison.py
@@ -15,42 +15,42 @@
 class TestComparisons(unittest.TestCase):
     """`Comparisons`."""
 
-    def test_peers_wait_until_the_first_is_done(self):
+    def test_only_one_peer_is_compared_at_a_time(self):
         # All hosts start together and a node hears from fifty peers that they
         # hold something else.  It compares with one; what that one brings makes
         # the others equal, and they are not asked.
         comparisons = Comparisons()
         for number in range(50):
             comparisons.differs(f"h{number}", 7)
-        first = comparisons.begin(mine=1)
+        first = comparisons.begin(own_digest=1)
         self.assertEqual(first, "h49")
-        self.assertIsNone(comparisons.begin(mine=1))
+        self.assertIsNone(comparisons.begin(own_digest=1))
         comparisons.done(first)
-        self.assertIsNone(comparisons.begin(mine=7))
+        self.assertIsNone(comparisons.begin(own_digest=7))
 
-    def test_peer_that_is_silent_holds_up_nobody_for_long(self):
+    def test_comparison_with_unresponsive_peer_times_out(self):
         # The peer is killed while it is compared with; its word never comes.
         moment = [100.0]
         with use_source(lambda: moment[0]):
             comparisons = Comparisons()
             comparisons.differs("live", 8)
             comparisons.differs("dead", 7)
-            self.assertEqual(comparisons.begin(mine=1), "dead")
+            self.assertEqual(comparisons.begin(own_digest=1), "dead")
             moment[0] += COMPARISON_TIMEOUT_SECONDS
-            self.assertEqual(comparisons.begin(mine=1), "live")
+            self.assertEqual(comparisons.begin(own_digest=1), "live")
 
-    def test_peer_that_is_gone_is_left_out(self):
+    def test_disconnected_peer_is_not_compared(self):
         comparisons = Comparisons()
         comparisons.differs("gone", 7)
         comparisons.agrees("gone")
-        self.assertIsNone(comparisons.begin(mine=1))
+        self.assertIsNone(comparisons.begin(own_digest=1))
 
 
 class TestRevisionDigest(unittest.TestCase):
     """`RevisionDigest`."""
 
     @given(PATHS, st.randoms())
-    def test_order_and_former_revisions_leave_no_trace(self, revisions, rng):
+    def test_digest_is_independent_of_order_and_earlier_revisions(self, revisions, rng):
         direct, changed = RevisionDigest(), RevisionDigest()
         for path, revision in revisions.items():
             direct.change(path, -1, revision)
@@ -62,7 +62,7 @@
             changed.change(path, 1000, revisions[path])
         self.assertEqual((changed.value, changed.buckets), (direct.value, direct.buckets))
 
-    def test_a_change_shows_in_its_bucket_alone(self):
+    def test_change_affects_only_its_bucket(self):
         digest = RevisionDigest()
         for number in range(200):
             digest.change(f"p{number}", -1, number)
--- a/caperstack/settings/tests/test_store.py
+++ b/caperstack/settings/tests/test_store.py
@@ -129,7 +129,7 @@
     """Who reads, and who gets settings from whom."""
 
     @given(st.sets(st.text("abcdef0123456789", min_size=1, max_size=6), min_size=1, max_size=60))
-    def test_every_node_hangs_on_a_reader(self, hosts):
+    def test_parents_of_every_node_include_a_reader(self, hosts):
         order = ranked(hosts)
         readers = {host for host in hosts if is_reader(host, hosts)}
         self.assertEqual(len(readers), min(READERS_PER_ZONE, len(hosts)))
--- a/caperstack/settings/tests/test_sync.py
+++ b/caperstack/settings/tests/test_sync.py
@@ -71,23 +71,25 @@
             self.sync.opened(host, connection)
             connection.sent.clear()
 
-    def told(self, kind):
+    def hosts_sent(self, kind):
         return [h for h, c in self.peers.items() if any(isinstance(m, kind) for m in c.sent)]
 
-    async def test_change_is_told_to_a_few_of_each_zone(self):
+    async def test_change_is_announced_to_few_hosts_of_each_zone(self):
         # A reader on a thin link finds a large configuration.  Were all 39
         # peers told at once, all would ask it for the body, and its link
         # would be full for seconds; they hear of it from each other.
         self.store.take("", 5, ROUTES, "platform")
         await asyncio.sleep(0)
-        told = set(self.told(Revisions))
-        near = [host for host in told if int(host[1:]) % 2 == 0]
+        hosts_sent = set(self.hosts_sent(Revisions))
+        near = [host for host in hosts_sent if int(host[1:]) % 2 == 0]
         self.assertGreaterEqual(len(near), NOTIFIED_SAME_ZONE)
-        self.assertGreaterEqual(len(told) - len(near), NOTIFIED_OTHER_ZONES)
-        self.assertLessEqual(len(told), NOTIFIED_SAME_ZONE + NOTIFIED_OTHER_ZONES + SUCCESSORS)
-        self.assertLessEqual(set(self.sync._topology.successors(SUCCESSORS)), told)
+        self.assertGreaterEqual(len(hosts_sent) - len(near), NOTIFIED_OTHER_ZONES)
+        self.assertLessEqual(
+            len(hosts_sent), NOTIFIED_SAME_ZONE + NOTIFIED_OTHER_ZONES + SUCCESSORS
+        )
+        self.assertLessEqual(set(self.sync._topology.successors(SUCCESSORS)), hosts_sent)
 
-    async def test_calls_wait_until_the_settings_of_a_peer_have_come(self):
+    async def test_calls_wait_for_the_settings_of_a_peer(self):
         """A node that starts hears a peer, and says 404 while the newer routes are on their way."""
         waiting = asyncio.create_task(self.sync.wait_for_agreement())
         self.sync.take("h1", self.peers["h1"], Digest(1), b"")
@@ -98,25 +100,25 @@
         self.sync.take("h1", self.peers["h1"], SubtreeBody(1, len(body), "", 5, False), body)
         await asyncio.wait_for(waiting, 0.1)
 
-    async def test_body_is_asked_elsewhere_when_the_peer_that_was_asked_is_gone(self):
+    async def test_body_is_requested_from_another_peer_when_connection_closes(self):
         """The peer that was asked for a body is killed, and nobody tells of it again."""
         for host in ("h1", "h2"):
             self.sync.take(host, self.peers[host], Revisions({"": 5}), b"")
-        self.assertEqual(self.told(Fetch), ["h1"])
+        self.assertEqual(self.hosts_sent(Fetch), ["h1"])
         self.peers["h1"].closed = True
         self.sync.closed("h1")
-        self.assertEqual(self.told(Fetch), ["h1", "h2"])
+        self.assertEqual(self.hosts_sent(Fetch), ["h1", "h2"])
 
-    async def test_body_is_asked_elsewhere_when_it_does_not_come(self):
+    async def test_body_is_requested_from_another_peer_after_timeout(self):
         """The peer that was asked has gone silent, and nobody tells of that revision again."""
         with mock.patch("caperstack.settings.sync.FETCH_TIMEOUT_SECONDS", 0.01):
             with mock.patch("caperstack.settings.fetches.FETCH_TIMEOUT_SECONDS", 0.01):
                 for host in ("h1", "h2"):
                     self.sync.take(host, self.peers[host], Revisions({"": 5}), b"")
             await asyncio.sleep(0.1)
-        self.assertEqual(self.told(Fetch), ["h1", "h2"])
+        self.assertEqual(self.hosts_sent(Fetch), ["h1", "h2"])
 
-    async def test_host_is_told_over_the_connection_that_is_left(self):
+    async def test_change_is_sent_over_the_remaining_connection(self):
         # A backend server leaves the list and the link to its host is closed.
         # The host's own connection to this node is open still, and a change
         # must reach it: its callers go on calling through it.
@@ -132,23 +134,23 @@
         await asyncio.sleep(0)
         self.assertEqual([type(message) for message in accepted.sent], [Revisions])
 
-    async def test_host_that_is_not_listed_hears_of_readings(self):
+    async def test_platform_read_is_announced_to_unlisted_host(self):
         stranger = self.peers["new"] = Connection()
         self.sync.opened("new", stranger)
         self.peers["h1"].arrival = 100.0
         self.sync.take("h1", self.peers["h1"], Digest(1, 7, 10_000), b"")
         self.assertTrue([m for m in stranger.sent if isinstance(m, Digest) and m.reading])
 
-    async def test_body_is_asked_of_one_peer_at_a_time(self):
+    async def test_body_is_requested_from_one_peer_at_a_time(self):
         for host in ("h1", "h2", "h3"):
             self.sync.take(host, self.peers[host], Revisions({"": 5}), b"")
-        self.assertEqual(self.told(Fetch), ["h1"])
+        self.assertEqual(self.hosts_sent(Fetch), ["h1"])
 
-    async def test_peer_that_does_not_send_is_replaced(self):
+    async def test_next_peer_is_asked_when_a_fetch_has_expired(self):
         with mock.patch("caperstack.settings.fetches.FETCH_TIMEOUT_SECONDS", 0.0):
             for host in ("h1", "h2"):
                 self.sync.take(host, self.peers[host], Revisions({"": 5}), b"")
-        self.assertEqual(self.told(Fetch), ["h1", "h2"])
+        self.assertEqual(self.hosts_sent(Fetch), ["h1", "h2"])
 
     async def test_body_that_comes_from_another_peer_ends_the_comparison(self):
         # A change is told by h1 and its body is on the way when h2 is compared
@@ -157,10 +159,10 @@
         self.sync.take("h2", self.peers["h2"], Digest(1), b"")
         self.sync.take("h2", self.peers["h2"], Revisions({"": 5}, [0]), b"")
         self.sync.take("h3", self.peers["h3"], Digest(2), b"")
-        self.assertEqual(self.told(Buckets), ["h2"])
+        self.assertEqual(self.hosts_sent(Buckets), ["h2"])
         body = pack(ROUTES)
         self.sync.take("h1", self.peers["h1"], SubtreeBody(1, len(body), "", 5, False), body)
-        self.assertEqual(self.told(Buckets), ["h2", "h3"])
+        self.assertEqual(self.hosts_sent(Buckets), ["h2", "h3"])
 
     async def test_body_arrives_as_it_was_sent(self):
         self.store.take("", 5, ROUTES, "platform")
@@ -173,7 +175,7 @@
         self.sync.take("h1", self.peers["h1"], message, body)
         self.assertEqual((other.get("").revision, other.get("").document), (5, ROUTES))
 
-    async def test_body_that_unpacks_without_end_is_refused(self):
+    async def test_body_exceeding_size_limit_when_decompressed_is_rejected(self):
         # Rubbish of 2 kB that unpacks to gigabytes must not fill the memory.
         bomb = zlib.compress(bytes(2 * MAX_BODY_BYTES))
         message = SubtreeBody(1, len(bomb), "", 9, False)
@@ -182,7 +184,7 @@
         self.assertIn("longer", str(caught.exception))
         self.assertIsNone(self.store.get(""))
 
-    async def test_age_of_a_reading_is_heard(self):
+    async def test_age_of_platform_read_is_reported_to_listeners(self):
         heard = []
         self.sync.on_read(heard.append)
         self.peers["h1"].arrival = 100.0
@@ -191,30 +193,30 @@
         self.assertEqual(heard, [99.75])
         self.assertEqual(json.dumps(self.store.revisions), "{}")
 
-    async def test_word_of_a_reading_goes_round_once(self):
+    async def test_platform_read_is_forwarded_once(self):
         # The reader is connected to a part of the fleet. Whoever hears of a
         # new reading tells three others, and nobody tells an old one again.
         for host, way, reading in (("h1", 0.010, 7), ("h2", 0.030, 7), ("h3", 0.900, 8)):
-            self.hear_reading(host, 100.0 + way, reading)
-        self.assertEqual(len(self.readings_told()), 6)
+            self.receive_read_notice(host, 100.0 + way, reading)
+        self.assertEqual(len(self.read_notices_sent()), 6)
 
-    async def test_word_of_a_reading_that_comes_back_late_is_not_told_again(self):
+    async def test_delayed_duplicate_of_platform_read_is_not_forwarded(self):
         """Messages are slow, word of one reading looks newer each time round, and nobody reads."""
         for host, way in (("h1", 0.010), ("h2", 0.900), ("h3", 1.800)):
-            self.hear_reading(host, 100.0 + way, 7)
-        self.assertEqual(len(self.readings_told()), 3)
+            self.receive_read_notice(host, 100.0 + way, 7)
+        self.assertEqual(len(self.read_notices_sent()), 3)
         self.assertEqual(len(self.heard), 1)
 
-    async def test_readings_of_many_at_once_are_not_all_told(self):
+    async def test_simultaneous_platform_reads_are_not_all_forwarded(self):
         """A reader dies, sixty nodes read in one moment, and word of each goes round."""
         for number in range(30):
-            self.hear_reading(f"h{number + 1}", 100.0 + number / 1000, number + 1)
-        self.assertEqual(len(self.readings_told()), 3)
+            self.receive_read_notice(f"h{number + 1}", 100.0 + number / 1000, number + 1)
+        self.assertEqual(len(self.read_notices_sent()), 3)
 
-    def hear_reading(self, host, arrival, reading):
+    def receive_read_notice(self, host, arrival, reading):
         self.peers[host].arrival = arrival
         self.sync.take(host, self.peers[host], Digest(1, reading, 10_000), b"")
 
-    def readings_told(self):
-        told = [m for c in self.peers.values() for m in c.sent if isinstance(m, Digest)]
-        return [m for m in told if m.reading]
+    def read_notices_sent(self):
+        hosts_sent = [m for c in self.peers.values() for m in c.sent if isinstance(m, Digest)]
+        return [m for m in hosts_sent if m.reading]
