--- a/caperstack/settings/sync.py
+++ b/caperstack/settings/sync.py
@@ -1,4 +1,8 @@
-"""Settings from peer to peer: revisions pushed, digests compared, bodies on difference."""
+"""Replicate settings between peers.
+
+Changed revisions are pushed, digests are compared periodically, and the bodies of
+subtrees are fetched where the revisions differ.
+"""
 
 import asyncio
 import contextlib
@@ -21,62 +25,66 @@
 
 __all__ = ["SettingsSync"]
 
-#: How often parents are looked after, and how often digests are compared.
+#: Intervals between checks of the parent connections and between digests sent to all
+#: connected hosts, in seconds; both are varied by up to 20 %.
 MAINTENANCE_SECONDS = 1.0
 DIGEST_SECONDS = 5.0
 
-#: Parents that are kept connected.
+#: Number of parents that a node other than a reader keeps connected.
 CONNECTED_PARENTS = 2
 
-#: Hosts next in the order of all hosts that each node keeps connected, whatever
-#: its zone.  Failure: a node starts, cannot reach the platform and knows
-#: nobody; its parents never dial it.  Its predecessors in this order do, and
-#: one that can read is among three of them unless most of the fleet cannot.
+#: Number of successors in the order of all hosts that each node keeps connected, in
+#: whatever zone.  The parents of a node don't dial it, so a node that starts without
+#: access to the platform and knows no peers is reached through its predecessors in
+#: this order.  Among three of them one can read the platform unless most of the
+#: fleet cannot.
 SUCCESSORS = 3
 
-#: With more connections than this, a change is told to a few peers of the own
-#: zone and of other zones; they tell others, and digests reach the rest.
-#: Failure: a configuration of 1,400 routes is asked for by 72 peers at once from
-#: the node that read it, and its link of 10 Mbit/s is full for seconds.
+#: With more connected hosts than this, a change is announced to the successors and to a
+#: few peers of the own zone and of other zones; these forward it, and digests reach the
+#: rest.  If all were notified, 72 peers at once would fetch a configuration of 1,400
+#: routes from the node that read it and saturate its 10 Mbit/s link for seconds.
 MAX_PEERS_NOTIFIED_DIRECTLY = 16
 NOTIFIED_SAME_ZONE = 2
 NOTIFIED_OTHER_ZONES = 1
 
-#: Changes of one turn beyond this many are told by the digest alone.  A node that
-#: starts takes in the whole fleet at once; its peers know most of it, and what
-#: they lack a comparison shows.
+#: If more subtrees than this change in one iteration of the event loop, only the digest
+#: is sent.  A starting node receives the whole fleet at once; its peers hold most of
+#: it, and a comparison finds what they lack.
 MAX_REVISIONS_PER_NOTICE = 16
 
-#: How long a starting node waits for a neighbour to agree with, in seconds.
+#: Maximum time that a starting node waits to agree with a peer, in seconds.
 START_TIMEOUT_SECONDS = 2.0
 
-#: How long after its start a node holds calls until it agrees with a peer, in seconds;
-#: a connection takes some milliseconds where one lives.
+#: Maximum time after its start that a node holds calls until it agrees with a peer, in
+#: seconds.  A connection to a live peer takes some milliseconds.
 HOLD_CALLS_SECONDS = 1.0
 
-#: Silence of all peers after which a node no longer counts on them.
+#: Time without settings messages from any peer, in seconds, after which a node no longer
+#: relies on its peers and reads the platform itself.
 SILENCE_SECONDS = 12.0
 
 
 class SettingsSync:
-    """Keep the settings of this node and its neighbours alike.
+    """Replicate settings between this node and its connected peers.
 
     Notes
     -----
-    Failure: a node restarts while the platform serves an old revision.  It has
-    no memory, takes the old one, and callers see a change undone.  So a node
-    begins to serve when it agrees with a neighbour, or when none can be
-    reached within a second or two.
+    A restarted node holds no settings.  If the platform serves an old revision at
+    that time, the node would adopt it and revert a change for its callers.  So a node
+    begins to serve when it agrees with a peer, or when none can be reached within a
+    second or two.
 
-    News travels both ways on every settings connection, whoever dialled it,
-    so a change that one node alone has seen reaches all that are connected.
+    Changes are sent in both directions on every settings connection, whichever side
+    dialled it, so a change that only one node has seen reaches all connected nodes.
 
     Parameters
     ----------
     here : caperstack.config.here.Here
         This node.
     restores : caperstack.settings.restores.Restores, optional
-        The era of the platform's revisions, told with each reading.
+        Tracks the era of the platform's revisions, which is sent with each announced
+        read of the platform.
     """
 
     def __init__(self, here, restores=None):
@@ -96,22 +104,28 @@
         self._changes = {}
 
     def on_read(self, listener):
-        """Call ``listener(read_at)`` when a peer tells that the platform was read."""
+        """Call ``listener(read_at)`` when a peer announces a read of the platform."""
         self._read_listeners.append(listener)
 
     def announce_read(self, read_at):
-        """Tell all peers that the platform was read at `read_at`, and what is held since."""
+        """Announce to all peers a read of the platform, with the digest held after it.
+
+        Parameters
+        ----------
+        read_at : float
+            When the read began, on the clock of `caperstack.clock.now`, in seconds.
+        """
         message = self._read_message(self._seen_reads.begin(read_at), read_at)
         for host in self._connections.hosts:
             self._connections.send(host, message)
 
     @property
     def silent(self):
-        """Whether no peer has spoken of settings lately."""
+        """Whether no peer has sent a settings message lately; see `SILENCE_SECONDS`."""
         return now() > self._active_until
 
     async def start(self, kernel):
-        """Follow links, connections and changes."""
+        """Subscribe to connections and changes, and wait until this node agrees with a peer."""
         self._store = kernel.find("settings")
         self._members = kernel.find("members")
         self._metrics = kernel.find("metrics")
@@ -128,10 +142,10 @@
                 await asyncio.wait_for(self._agrees.wait(), START_TIMEOUT_SECONDS)
 
     async def stop(self):
-        """Stop looking after parents."""
+        """Stop maintaining connections and sending digests."""
         self._task.cancel()
 
-    # -- neighbours -------------------------------------------------------
+    # -- connections ------------------------------------------------------
 
     async def _maintenance_loop(self):
         digest_due = 0.0
@@ -146,7 +160,7 @@
     def _keep_connections(self):
         for host in self._topology.successors(SUCCESSORS):
             self._members.find(host).owner.touch()
-        # Readers join the zones: they keep to all other readers.
+        # Readers connect the zones, so each keeps all its parents connected.
         missing = None if self._topology.reads else CONNECTED_PARENTS
         for host in self._topology.parents():
             member = self._members.find(host)
@@ -162,12 +176,15 @@
             self._connections.send(host, message)
 
     def opened(self, host, connection):
-        """A connection is up, dialled by either side: tell all revisions."""
+        """Register a connection, dialled by either side, and send the digest over it."""
         self._connections.add(host, connection)
         self._connections.send_over(connection, Digest(self._store.digest.value))
 
     def closed(self, host):
-        """A connection is down."""
+        """Remove the closed connections to `host`.
+
+        If none is left, its pending fetches go to other peers and its comparison ends.
+        """
         if not self._connections.drop_closed(host):
             self._fetches.forget_host(host)
             self._send_due_fetches()
@@ -178,22 +195,23 @@
 
     @singledispatchmethod
     def _handle(self, message, body, host, connection):
-        """Other messages are somebody else's."""
+        """Ignore messages of other types, which other services handle."""
 
     def take(self, host, connection, message, body):
-        """Take a message that came over a connection."""
+        """Handle a message received over a connection."""
         self._handle(message, body, host, connection)
 
     async def wait_for_agreement(self):
-        """Wait until this node agrees with a peer, or so long that none seems to be there.
+        """Wait until this node agrees with a peer or `HOLD_CALLS_SECONDS` have passed.
 
         Notes
         -----
-        Failure: a node starts, reads an old copy of the platform's settings, and tells
-        callers that a route does not exist, just as a peer is about to send it.  Or it
-        sends on its first calls before any peer could tell it which requests all others
-        keep away; one of these ends the server beside it.  A new peer tells that before
-        it speaks of settings, so whoever agrees on settings knows it.
+        Without this wait, a starting node that has read an old copy of the platform's
+        settings answers that a route does not exist just before a peer sends it.  It
+        would also forward its first calls before it learns which requests are
+        quarantined, and one of them may crash the backend server beside it.  A newly
+        connected peer announces these requests before any settings message, so a node
+        that agrees on settings knows them.
         """
         if self._agrees.is_set() or now() >= self._hold_until:
             return
@@ -221,7 +239,7 @@
         self._compare_next()
 
     def _compare_next(self):
-        """Compare with a peer that holds something else, if no other comparison runs."""
+        """Start a comparison with a peer whose digest differs, unless one is running."""
         host = self._comparisons.begin(self._store.digest.value)
         if host is not None:
             digest = self._store.digest
@@ -230,25 +248,25 @@
     @_handle.register
     def _(self, message: Buckets, body, host, connection):
         self._record_activity()
-        mine = self._store.digest
-        if message.value == mine.value:
-            self._connections.send_over(connection, Digest(mine.value))
+        own_digest = self._store.digest
+        if message.value == own_digest.value:
+            self._connections.send_over(connection, Digest(own_digest.value))
             return
-        pairs = enumerate(zip(message.values, mine.buckets, strict=False))
-        # Equal buckets under unequal whole values are equal by chance: all are told then.
-        unequal = [place for place, (theirs, ours) in pairs if theirs != ours] or range(BUCKETS)
+        pairs = enumerate(zip(message.values, own_digest.buckets, strict=False))
+        # If only the whole values differ, some buckets collide: send all revisions.
+        unequal = [index for index, (theirs, ours) in pairs if theirs != ours] or range(BUCKETS)
         buckets = list(unequal)
         self._connections.send_over(
             connection, Revisions(self._store.revisions_in(buckets), buckets)
         )
 
     def _handle_read_notice(self, message, connection):
-        """Take note of a reading, and pass the word on if it is new here.
+        """Process an announced read of the platform and forward it if it is new.
 
         Notes
         -----
-        A reader is connected to some of a large fleet. Its word goes round by
-        the three successors of each node; an old word is not passed on again.
+        In a large fleet a reader is connected to a part of the nodes only.  Each node
+        forwards the announcement to its three successors, once.
         """
         if not self._seen_reads.add(message.reading):
             return
@@ -262,7 +280,7 @@
         if not self._seen_reads.should_forward(read_at):
             return
         message = self._read_message(message.reading, read_at)
-        # A host that is not listed has a place in nobody's order.
+        # A host that is not a member is no node's successor.
         unlisted = [h for h in self._connections.hosts if self._members.find(h) is None]
         for host in (*self._topology.successors(SUCCESSORS), *unlisted):
             self._connections.send(host, message)
@@ -283,8 +301,8 @@
             self._fetches.add_holder(host, path, revision)
         self._send_due_fetches()
         if message.buckets:
-            mine = self._store.revisions_in(message.buckets)
-            higher = {p: r for p, r in mine.items() if r > message.revisions.get(p, -1)}
+            held = self._store.revisions_in(message.buckets)
+            higher = {p: r for p, r in held.items() if r > message.revisions.get(p, -1)}
             if higher:
                 self._connections.send_over(connection, Revisions(higher))
         if not wanted:
@@ -341,18 +359,18 @@
         self._changes[held.path] = held
 
     def _notify_changes(self):
-        """Tell a few peers what has changed in this turn of the loop."""
-        news, self._changes = self._changes, {}
+        """Notify a few peers of the changes made in this iteration of the event loop."""
+        changes, self._changes = self._changes, {}
         for host in self.notification_targets():
-            # Whoever told it knows it.
-            told = {path: held.revision for path, held in news.items() if held.source != host}
-            if len(told) > MAX_REVISIONS_PER_NOTICE:
+            # The host that sent a revision holds it already.
+            notice = {path: held.revision for path, held in changes.items() if held.source != host}
+            if len(notice) > MAX_REVISIONS_PER_NOTICE:
                 self._connections.send(host, Digest(self._store.digest.value))
-            elif told:
-                self._connections.send(host, Revisions(told))
+            elif notice:
+                self._connections.send(host, Revisions(notice))
 
     def _initial_targets(self, hosts):
-        """Return those of the connected `hosts` that are told of a change at once."""
+        """Return the hosts, besides the successors, that are notified of a change directly."""
         if len(hosts) <= MAX_PEERS_NOTIFIED_DIRECTLY:
             return hosts
         random.shuffle(hosts)
@@ -361,12 +379,12 @@
         return near[:NOTIFIED_SAME_ZONE] + far[:NOTIFIED_OTHER_ZONES]
 
     def notification_targets(self):
-        """Return the hosts to tell of news, which pass on what is new to them.
+        """Return the hosts to notify of a change; each forwards what is new to it.
 
         Notes
         -----
-        The next hosts in the order of all are among them, so news goes round the
-        whole fleet; a few picked by chance alone miss a node now and then.
+        The successors of this node are among them, so a change reaches the whole
+        fleet.  With randomly chosen hosts alone it occasionally misses a node.
         """
         connected = self._connections.hosts
         hosts = self._initial_targets(connected)
@@ -379,7 +397,7 @@
         return self._connections.to(host)
 
     def send(self, host, message):
-        """Send a message to a host over an open connection, if there is one."""
+        """Send a message over the newest open connection to a host, if there is one."""
         self._connections.send(host, message)
 
     def _zone_of(self, host):
