--- a/caperstack/settings/compile.py
+++ b/caperstack/settings/compile.py
@@ -1,4 +1,4 @@
-"""From subtrees to what a node looks up: routes and services with defaults filled in."""
+"""Compile subtrees into the routing table: routes, and services with defaults applied."""
 
 from dataclasses import fields, replace
 
@@ -9,30 +9,30 @@
 
 
 class TreeCodec:
-    """Parses and compiles subtrees, for `caperstack.settings.store.SettingsStore`."""
+    """Parse and compile subtrees for `caperstack.settings.store.SettingsStore`."""
 
     def parse(self, path, document):
-        """Return the `caperstack.config.tree.Subtree` in `document`."""
+        """Return `document` parsed as a `caperstack.config.tree.Subtree`."""
         return parse_subtree(path, document)
 
     def is_overtaken(self, held, revision, document):
-        """Return whether a higher revision may be of an earlier time: never here."""
+        """Return whether `document` may be outdated despite its higher revision: never here."""
         return False
 
     def compile(self, subtrees):
-        """Return the `RoutingTable` of subtrees by path."""
+        """Return the `RoutingTable` compiled from `subtrees`, a dict by path."""
         return compile_tree(subtrees)
 
     def affects_routes(self, path):
-        """Return whether a change of subtree `path` changes the table: each does."""
+        """Return whether subtree `path` affects the routing table: always true here."""
         return True
 
     def dates_routes(self, path):
-        """Return whether the revision of subtree `path` tells the age of the table: each does."""
+        """Return whether the revision of subtree `path` dates the table: always true here."""
         return True
 
     def complete(self, subtrees):
-        """Return whether all routes are known: a tree without subtrees has none."""
+        """Return whether all routes are known: always true, since a tree may have none."""
         return True
 
 
@@ -44,7 +44,7 @@
 
 
 def compile_tree(subtrees):
-    """Return the `RoutingTable` of subtrees.
+    """Return the `RoutingTable` compiled from subtrees.
 
     Parameters
     ----------
@@ -53,8 +53,8 @@
 
     Notes
     -----
-    The result depends on the subtrees alone, not on the order in which they
-    came, so that nodes with the same revisions do the same.
+    The result depends on the subtrees only, not on the order in which they were
+    received, so that nodes with the same revisions route alike.
     """
     table = RoutingTable()
     if "" in subtrees:
@@ -101,7 +101,7 @@
 
 
 def _grant_violations(path, subtree, parent):
-    """Return what `subtree` claims beyond its grant, a list of reasons."""
+    """Return how `subtree` exceeds the grant of its parent, a list of reasons."""
     if not path:
         return []
     if parent is None:
@@ -131,7 +131,7 @@
 
 
 def _tightened_bounds(ceiling, bounds):
-    """Return the lower of the parent's and the subtree's own ceilings."""
+    """Return the lower of the parent's and the subtree's own ceilings by setting, a dict."""
     result = dict(ceiling)
     for name, value in bounds.model_dump(exclude_none=True).items():
         result[name] = min(value, result.get(name, value))
@@ -139,6 +139,7 @@
 
 
 def _merged_service(base, settings, ceiling):
+    """Return `base` overridden by `settings`, with each value limited by `ceiling`."""
     changes = settings.model_dump(exclude_none=True)
     merged = replace(base, **changes)
     lowered = {
--- a/caperstack/settings/reader.py
+++ b/caperstack/settings/reader.py
@@ -1,4 +1,4 @@
-"""Read and watch the platform's configuration service, where this node is a reader."""
+"""Read the platform's configuration service: readers watch it, other nodes as a fallback."""
 
 import asyncio
 import json
@@ -13,34 +13,37 @@
 
 __all__ = ["SettingsReader"]
 
-#: The platform ends a watch after 30 s; a dead one shows a little later.
+#: Timeout of a watch request.  The platform ends a watch after 30 s, so a longer one
+#: means that the connection is dead.
 WATCH_SECONDS = 40.0
 READ_SECONDS = 5.0
 
 RETRY_SECONDS = 0.5
 MAX_RETRY_SECONDS = 5.0
 
-#: Calls a second that all nodes together may make when they must read for
-#: themselves, a quarter of what the platform allows to everyone.
+#: Requests per second that all nodes together may make when they read without their
+#: peers: a quarter of the platform's limit for all clients.
 FLEET_REQUESTS_PER_SECOND = 500
+#: Requests that one such read of a node is assumed to take.
 REQUESTS_PER_DIRECT_READ = 3
 MIN_DIRECT_READ_INTERVAL_SECONDS = 5.0
 
+#: Mean interval at which a node that is not a reader checks whether it must read.
 ROLE_CHECK_SECONDS = 0.5
 
 MAX_VALUE_BYTES = 2 * 1024 * 1024
 
 
 class SettingsReader:
-    """Watch the service as one of the zone's readers, or read when peers go silent.
+    """Watch the service as a reader of the zone, or read it when all peers are silent.
 
     Notes
     -----
-    Failure: after an outage, or a restart of everything, each node asks the
-    service for each subtree at once, the service is over its rate, and nobody
-    gets settings.  Here two nodes of a zone read; the others wait for them,
-    and read for themselves only after the peers' silence, at a pace that is
-    slower the larger the fleet is.
+    If every node requested every subtree after an outage or a restart of the whole
+    fleet, the service would exceed its rate limit and no node would get settings.
+    So only two nodes of each zone read; the others get settings from them and read
+    directly only when all their peers are silent, at an interval that grows with the
+    size of the fleet.
     """
 
     def __init__(self, here):
@@ -53,7 +56,7 @@
         self._task = None
 
     async def start(self, kernel):
-        """Start reading."""
+        """Start reading, if the address of a configuration service is set."""
         self._store = kernel.find("settings")
         self._members = kernel.find("members")
         self._topology = Topology(self._here, self._members)
@@ -132,7 +135,7 @@
             )
             document = json.loads(response.body)
         except Exception as error:
-            # Down, slow or not JSON: all the same, the settings held stay.
+            # Unreachable, slow or not JSON: in each case the settings held stay in force.
             raise PlatformError(str(error), step="read", peer=self._address) from None
         if not isinstance(document, dict):
             raise PlatformError("not a JSON object", step="read", peer=self._address)
--- a/caperstack/settings/store.py
+++ b/caperstack/settings/store.py
@@ -1,4 +1,4 @@
-"""The settings in force: the highest good revision of each team's subtree."""
+"""Store the settings in force: the highest valid revision of each team's subtree."""
 
 from dataclasses import dataclass, field
 
@@ -10,13 +10,35 @@
 
 __all__ = ["HeldSubtree", "SettingsStore"]
 
-#: The default of a service that no subtree names.
+#: Settings of a service that no subtree declares.
 NO_SETTINGS = EffectiveService()
 
 
 @dataclass(slots=True)
 class HeldSubtree:
-    """A subtree as held: the revision in force and the one last refused."""
+    """State of a subtree on this node: the revision in force and the last refused one.
+
+    Attributes
+    ----------
+    path : str
+        The subtree's path, ``""`` for the root.
+    revision : int
+        The revision in force, negative if there is none.
+    document : dict or None
+        Its decoded JSON value; ``None`` for a deletion.
+    parsed : object or None
+        What the codec parsed from the document; ``None`` for a deletion.
+    since_us : int
+        Wall clock time at which the revision came into force, in microseconds.
+    source : str
+        Who sent the revision: a host, the platform or the start settings.
+    refused_revision : int
+        The last revision that was refused, negative if there is none.
+    refused_reason : str
+        Why it was refused.
+    problems : list of str
+        Why the subtree's own routes and services are not in force.
+    """
 
     path: str
     revision: int = -1
@@ -35,22 +57,22 @@
 
 
 class SettingsStore:
-    """All subtrees that this node holds, and what follows from them.
+    """Hold all subtrees known to this node and the routing table compiled from them.
 
     Notes
     -----
-    A subtree's revision only ever rises here, deletions included: a lower one
-    is ignored whoever sends it.  A subtree is taken whole or refused whole; a
-    refused one leaves the last good in force and other teams untouched.
+    The revision of a subtree never decreases, deletions included: a lower revision
+    is ignored whoever sends it.  A subtree is accepted or refused as a whole; after a
+    refusal its last valid revision stays in force and other subtrees are not affected.
 
     Parameters
     ----------
     codec : object
-        With ``parse(path, document)``, ``is_overtaken(held, revision, document)``,
+        Provides ``parse(path, document)``, ``is_overtaken(held, revision, document)``,
         ``compile(parsed by path)``, ``affects_routes(path)``, ``dates_routes(path)`` and
-        ``complete(parsed by path)``.
+        ``complete(parsed by path)``; see `caperstack.settings.compile.TreeCodec`.
     initial : dict, optional
-        Documents by path that came with the start settings.
+        Documents by path from the start settings.
     """
 
     def __init__(self, codec, initial=None):
@@ -64,27 +86,27 @@
         self._events = None
 
     async def start(self, kernel):
-        """Take the settings that came with the start settings, at revision 0."""
+        """Apply the documents of the start settings, at revision 0."""
         self._events = kernel.find("events")
         self._metrics = kernel.find("metrics")
         for path, document in self._initial.items():
             self.take(path, 0, document, "start settings")
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing; the store runs no task."""
 
     def listen(self, listener):
-        """Call ``listener(held)`` after each change."""
+        """Call ``listener(held)`` with the `HeldSubtree` after each change."""
         self._listeners.append(listener)
 
     @property
     def known(self):
-        """Whether enough is held that a missing route is missing for certain."""
+        """Whether the settings held are complete, so that a missing route does not exist."""
         return self._codec.complete(self._parsed())
 
     @property
     def routes_revision(self):
-        """The revision of the settings that the routes follow from, for the log."""
+        """The highest revision among the settings that date the routes, for the log."""
         return self._routes_revision
 
     @property
@@ -98,38 +120,43 @@
         return self._digest
 
     def revisions_in(self, buckets):
-        """Return the revisions in force of the subtrees in those buckets, a dict."""
+        """Return the revisions in force of the subtrees in the digest's `buckets`, a dict."""
         wanted = frozenset(buckets)
         return {p: r for p, r in self.revisions.items() if bucket_of(p) in wanted}
 
     def held(self):
-        """Return all `HeldSubtree` subtrees, by path."""
+        """Return all `HeldSubtree` objects, ordered by path."""
         return [self._held[path] for path in sorted(self._held)]
 
     def get(self, path):
-        """Return the `HeldSubtree` subtree of that path, or ``None``."""
+        """Return the `HeldSubtree` of `path`, or ``None``."""
         return self._held.get(path)
 
     def wants(self, path, revision):
-        """Return whether a body of that revision would be news."""
+        """Return whether `revision` is higher than the one held and not the one last refused."""
         held = self._held.get(path)
         if held is None:
             return True
         return revision > held.revision and revision != held.refused_revision
 
     def take(self, path, revision, document, source):
-        """Take over a subtree's revision if it is higher; return whether it is in force now.
+        """Apply a revision of a subtree if it is higher than the one held.
 
         Parameters
         ----------
         path : str
-            The subtree, ``""`` for the root.
+            The subtree's path, ``""`` for the root.
         revision : int
-            Where the document stands in the order of all that was written there.
+            Orders the documents written to this path.
         document : dict or None
             The decoded JSON value; ``None`` for a deletion.
         source : str
-            Who it came from.
+            Who sent it: a host, the platform or the start settings.
+
+        Returns
+        -------
+        bool
+            Whether the revision came into force by this call.
         """
         if not self.wants(path, revision):
             return False
@@ -158,12 +185,12 @@
         return True
 
     def _refuse(self, held, revision, reason):
-        told = held.refused_reason == reason
+        already_reported = held.refused_reason == reason
         held.refused_revision = revision
         held.refused_reason = reason
         self._metrics.count("settings_refused")
-        if told:
-            # One line for a fault, not one for each time that it is written again.
+        if already_reported:
+            # A fault is logged once, not each time that the document is written again.
             return
         self._events.state(f"settings {held.path or '/'}", "offered", f"refused: {reason}")
 
@@ -181,9 +208,9 @@
 
     @property
     def evacuated_zones(self):
-        """The zones whose backend servers get no new calls, a frozenset."""
+        """The zones whose backend servers receive no new calls, a frozenset."""
         return self._table.evacuated_zones
 
     def service(self, name):
-        """Return the `EffectiveService` of that name."""
+        """Return the `EffectiveService` of service `name`, `NO_SETTINGS` if it is not declared."""
         return self._table.services.get(name, NO_SETTINGS)
