--- a/caperstack/settings/__init__.py
+++ b/caperstack/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The settings in force, and how they reach every node."""
+"""Storage of the settings in force and their distribution to all nodes."""
--- a/caperstack/settings/bodies.py
+++ b/caperstack/settings/bodies.py
@@ -1,36 +1,37 @@
-"""The bodies of subtrees as they travel between nodes: JSON text, packed."""
+"""Encode subtrees for transfer between nodes, as JSON compressed with zlib."""
 
 import json
 import zlib
 
 __all__ = ["MAX_BODY_BYTES", "pack", "unpack"]
 
-#: A body larger than this is refused; the platform holds values up to a megabyte.
+#: Maximum size of a body, compressed and decompressed, in bytes.  The platform stores
+#: values of up to 1 MB.
 MAX_BODY_BYTES = 2 * 1024 * 1024
 
-#: The level of zlib: names of routes repeat, a third of the text is left.
+#: zlib level.  Route names repeat, so the text shrinks to a third of its size.
 COMPRESSION_LEVEL = 6
 
 
 def pack(document):
-    """Return the packed bytes of a document; none for a deletion."""
+    """Return `document` as compressed JSON; empty for ``None``, a deletion."""
     if document is None:
         return b""
     return zlib.compress(json.dumps(document, separators=(",", ":")).encode(), COMPRESSION_LEVEL)
 
 
 def unpack(body):
-    """Return the document in packed bytes.
+    """Return the document encoded in `body`.
 
     Raises
     ------
     ValueError
-        If they hold no JSON, or unpack to more than any subtree.
+        If `body` is not JSON or exceeds `MAX_BODY_BYTES` when decompressed.
     zlib.error
-        If they are not packed so.
+        If `body` is not valid zlib data.
     """
-    unpacker = zlib.decompressobj()
-    text = unpacker.decompress(body, MAX_BODY_BYTES)
-    if unpacker.unconsumed_tail:
+    decompressor = zlib.decompressobj()
+    text = decompressor.decompress(body, MAX_BODY_BYTES)
+    if decompressor.unconsumed_tail:
         raise ValueError("longer than any subtree")
     return json.loads(text)
--- a/caperstack/settings/comparison.py
+++ b/caperstack/settings/comparison.py
@@ -1,24 +1,24 @@
-"""Which peer's settings are compared with this node's now, and which wait for it."""
+"""Schedule the comparisons of this node's settings with those of its peers."""
 
 from caperstack.clock import deadline_after, now
 
 __all__ = ["COMPARISON_TIMEOUT_SECONDS", "Comparisons"]
 
-#: How long a comparison may take before the next one begins, in seconds: ten
-#: times what a body of 40 kB needs over a link of 10 Mbit/s.
+#: Time in seconds after which the next comparison starts although the current one has
+#: not ended: ten times what the transfer of a 40 kB body takes at 10 Mbit/s.
 COMPARISON_TIMEOUT_SECONDS = 0.3
 
 
 class Comparisons:
-    """One comparison at a time; the peers that hold something else wait for their turn.
+    """Compare with one peer at a time and queue the others whose digests differ.
 
     Notes
     -----
-    Failure: all hosts lose power and start together.  Each node is connected to
-    fifty others within half a second and holds something else than all of them;
-    fifty exchanges of all revisions at once, in each node, fill the links just
-    as the first callers come.  After the first exchange most of the others turn
-    out to hold the same.
+    When all hosts start together, as after a power failure, each node connects to
+    fifty others within half a second and its digest differs from all of theirs.
+    Fifty simultaneous exchanges of all revisions in each node would saturate the
+    links just as the first calls arrive.  After the first exchange most of the other
+    peers hold the same revisions as this node.
     """
 
     def __init__(self):
@@ -27,37 +27,37 @@
         self._different = {}
 
     def differs(self, host, value):
-        """Note that `host` holds something else, by the digest `value` that it told."""
+        """Record that the digest of `host`, `value`, differs from this node's."""
         self._different[host] = value
 
     def agrees(self, host):
-        """Note that `host` holds the same, or is not connected any more."""
+        """Record that `host` holds the same revisions or is no longer connected."""
         self._different.pop(host, None)
         self.done(host)
 
     def done(self, host):
-        """The comparison with `host` is over, if there was one."""
+        """End the comparison with `host`, if it is the current one."""
         if host == self._host:
             self._host = None
 
     def finish_current(self):
-        """All that was wanted has come, whoever sent it: nothing is compared any more.
+        """End the current comparison, since all wanted bodies have arrived.
 
         Notes
         -----
-        Failure: a body that a comparison asks for is on its way from another
-        peer already.  It comes from there, the comparison never hears of its
-        end, and the next one begins a third of a second late.
+        A body that the comparison needs may already be in transfer from another peer.
+        Without this call the comparison would then end only by its timeout, and the
+        next one would start a third of a second late.
         """
         self._host = None
 
     def begin(self, own_digest):
-        """Return the host to compare with next, or ``None``.
+        """Start the next comparison and return its host; ``None`` if there is none to start.
 
         Parameters
         ----------
         own_digest : int
-            This node's digest; peers that told the same need no comparison.
+            This node's digest; peers that reported the same one are skipped.
         """
         if self._host is not None and now() < self._deadline:
             return None
@@ -66,7 +66,7 @@
         }
         if not self._different:
             return None
-        # The one that told last knows most likely what is new.
+        # The peer that differed last most likely holds the newest revisions.
         self._host, _ = self._different.popitem()
         self._deadline = deadline_after(COMPARISON_TIMEOUT_SECONDS)
         return self._host
--- a/caperstack/settings/connections.py
+++ b/caperstack/settings/connections.py
@@ -1,4 +1,4 @@
-"""The open connections over which settings are exchanged, by host."""
+"""Track the open connections over which settings are exchanged, by host."""
 
 from caperstack.exception import PeerError
 
@@ -6,14 +6,15 @@
 
 
 class SettingsConnections:
-    """The connections to each host, whoever dialled them; the newest one is used.
+    """Hold the connections to each host, dialled by either side; the newest one is used.
 
     Notes
     -----
-    Two nodes have a connection each way.  Failure: a host's backend server
-    leaves, peers close their links to it, and the one that the host itself
-    has dialled is forgotten with them; its callers get the old routes for
-    seconds after a change, since nobody tells it any more.
+    Two nodes may each have dialled the other, so each connection is tracked.  When the
+    backend server of a host leaves, peers close the links that they dialled to it,
+    while the connections dialled by that host stay open.  If these were dropped too,
+    the host would no longer be notified of changes and its callers would get the old
+    routes for seconds.
     """
 
     def __init__(self):
@@ -21,24 +22,24 @@
         self._metrics = None
 
     def set_metrics(self, metrics):
-        """Count what could not be sent in `metrics`."""
+        """Set the `metrics` that count messages which could not be sent."""
         self._metrics = metrics
 
     @property
     def hosts(self):
-        """The hosts that are connected, a list."""
+        """The connected hosts, a list."""
         return list(self._open)
 
     def to(self, host):
-        """Return the connections to `host`, a list; the newest is the last."""
+        """Return the connections to `host`, a list ordered from oldest to newest."""
         return list(self._open.get(host, ()))
 
     def add(self, host, connection):
-        """Note a connection that is up."""
+        """Add an open connection to `host`."""
         self._open.setdefault(host, []).append(connection)
 
     def drop_closed(self, host):
-        """Forget the connections to `host` that are closed; return whether one is left."""
+        """Remove the closed connections to `host` and return whether any is left."""
         left = [connection for connection in self._open.get(host, ()) if not connection.closed]
         self._open[host] = left
         if not left:
@@ -46,13 +47,16 @@
         return bool(left)
 
     def send(self, host, message):
-        """Send a message over the newest connection to `host`, if there is one."""
+        """Send a message over the newest connection to `host`, if there is any."""
         connections = self._open.get(host)
         if connections:
             self.send_over(connections[-1], message)
 
     def send_over(self, connection, message):
-        """Send a message; one that cannot be sent is counted, a digest makes up for it."""
+        """Send a message, or count it as unsent.
+
+        An unsent message is not repeated: a later digest reveals the difference.
+        """
         try:
             connection.send(message)
         except PeerError:
--- a/caperstack/settings/digest.py
+++ b/caperstack/settings/digest.py
@@ -1,33 +1,33 @@
-"""A digest of revisions that a change brings up to date at the cost of the change."""
+"""A digest of revisions that is updated incrementally."""
 
 import xxhash
 
 __all__ = ["BUCKETS", "RevisionDigest", "bucket_of"]
 
-#: Groups of subtrees whose revisions are compared apart.  With 32 of them two
-#: nodes that differ in one of 195 subtrees exchange 170 bytes of bucket values and six
-#: revisions, 200 bytes, in place of all 195 revisions, 6 kB; at 1,100 subtrees
-#: the group is 34.
+#: Number of buckets, groups of subtrees whose revisions are compared separately.  With
+#: 32 buckets two nodes that differ in one of 195 subtrees exchange 170 bytes of bucket
+#: values and six revisions, 200 bytes, instead of all 195 revisions, 6 kB.  With 1,100
+#: subtrees a bucket holds 34.
 BUCKETS = 32
 
-#: Bucket values have 32 bits, five bytes on the wire each.  Two that are equal by
-#: chance leave the whole values unequal, which is told apart by those.
+#: Bucket values have 32 bits and take five bytes each on the wire.  If two buckets
+#: collide, the whole values still differ, which reveals the collision.
 BUCKET_MASK = 0xFFFFFFFF
 
-#: The whole value has 63 bits: it travels as a signed integer.
+#: The whole value has 63 bits, since it is encoded as a signed integer.
 WHOLE_MASK = 0x7FFFFFFFFFFFFFFF
 
 
 class RevisionDigest:
-    """The exclusive or of a hash of each path and its revision, by bucket.
+    """Combine a hash of each path and its revision by exclusive or, in total and by bucket.
 
     Notes
     -----
-    Failure: a digest over the sorted list of all revisions is worked out anew
-    at each change.  When a fleet of hundreds is replaced one host after the
-    other, each node hashes the whole list for each host, the square of the
-    fleet in all.  An exclusive or has no order: the former revision is taken
-    out and the present one put in.
+    A digest over the sorted list of all revisions would have to be recomputed at each
+    change.  While a fleet of hundreds of hosts is replaced one by one, each node would
+    hash the whole list once per host, which is quadratic in the size of the fleet.
+    Exclusive or is commutative and its own inverse, so a change removes the hash of
+    the old revision and adds that of the new one.
     """
 
     def __init__(self):
@@ -36,16 +36,16 @@
 
     @property
     def value(self):
-        """A number that is equal where all revisions are equal."""
+        """The digest of all revisions, equal on nodes that hold the same revisions."""
         return self._whole & WHOLE_MASK
 
     @property
     def buckets(self):
-        """The numbers of the buckets, in order."""
+        """The digests of the buckets, a list."""
         return [value & BUCKET_MASK for value in self._buckets]
 
     def change(self, path, old, new):
-        """Note that `path` went from revision `old` to `new`; negative ones are none."""
+        """Replace revision `old` of `path` with `new`; a negative revision stands for none."""
         bucket = bucket_of(path)
         for revision in (old, new):
             if revision >= 0:
@@ -55,5 +55,5 @@
 
 
 def bucket_of(path):
-    """Return the place of the bucket that `path` belongs to."""
+    """Return the index of the bucket that `path` belongs to."""
     return xxhash.xxh3_64_intdigest(path.encode()) % BUCKETS
--- a/caperstack/settings/fetches.py
+++ b/caperstack/settings/fetches.py
@@ -1,4 +1,4 @@
-"""Which bodies are wanted, which peers hold them, and which of these were asked."""
+"""Track the bodies to fetch and the peers that hold them."""
 
 from dataclasses import dataclass, field
 
@@ -6,8 +6,8 @@
 
 __all__ = ["FETCH_TIMEOUT_SECONDS", "Fetches"]
 
-#: How long a body that was asked for is waited for before another peer is asked, in
-#: seconds: 40 kB over a link of 5 Mbit/s, several at once.
+#: Time in seconds after which a body that has not arrived is requested from another
+#: peer: enough for several simultaneous bodies of 40 kB at 5 Mbit/s.
 FETCH_TIMEOUT_SECONDS = 0.6
 
 
@@ -20,12 +20,13 @@
 
 
 class Fetches:
-    """Ask for each wanted body at one peer at a time, and at the next if it does not come.
+    """Request each wanted body from one peer at a time, and from the next one on a timeout.
 
     Notes
     -----
-    A peer that was asked may be killed before it sends, and nobody may tell of that
-    revision again: the peers that told of it before are kept, and asked in turn.
+    The peer that was asked may be killed before it sends the body, and no peer may
+    announce that revision again.  So all peers that announced it are remembered and
+    asked in turn.
     """
 
     def __init__(self):
@@ -33,11 +34,11 @@
 
     @property
     def idle(self):
-        """Whether nothing is wanted."""
+        """Whether no body is wanted."""
         return not self._wanted
 
     def add_holder(self, host, path, revision):
-        """Note that `host` holds a revision of `path` that is wanted here."""
+        """Record that `host` holds a revision of `path` that this node wants."""
         wanted = self._wanted.get(path)
         if wanted is None or revision > wanted.revision:
             wanted = self._wanted[path] = _Wanted(revision)
@@ -45,7 +46,10 @@
             wanted.holders.append(host)
 
     def take_due(self):
-        """Return the paths to ask for now by host, a dict; they count as asked."""
+        """Return the paths to request now, a dict of lists by host.
+
+        Each of them counts as requested; its timeout starts now.
+        """
         due = {}
         for path, wanted in self._wanted.items():
             if now() >= wanted.ask_again_at and wanted.holders:
@@ -55,7 +59,7 @@
         return due
 
     def forget_host(self, host):
-        """Host `host` is not connected any more: what it was asked for is asked elsewhere."""
+        """Remove a disconnected host; what was requested from it is due at another peer."""
         for wanted in self._wanted.values():
             if host in wanted.holders:
                 wanted.holders.remove(host)
@@ -63,7 +67,7 @@
                 wanted.ask_again_at = 0.0
 
     def done(self, path, revision):
-        """A body of that revision has come, from whomever."""
+        """Record that the body of `revision` of `path` has arrived, from any peer."""
         wanted = self._wanted.get(path)
         if wanted is not None and revision >= wanted.revision:
             del self._wanted[path]
--- a/caperstack/settings/main.py
+++ b/caperstack/settings/main.py
@@ -1,4 +1,4 @@
-"""caperstack-settings: check a tree, compare two, ask the fleet what is in force."""
+"""Command line tool that checks and compares trees and queries the settings of nodes."""
 
 import argparse
 import asyncio
@@ -26,23 +26,30 @@
     parser = argparse.ArgumentParser(
         prog="caperstack-settings",
         description="Work with the settings of teams. A tree is a JSON object: subtree path to "
-        'subtree, "" for the root. Nothing here changes anything.',
+        'subtree, "" for the root. No command changes any settings.',
     )
     parser.add_argument("--version", action="version", version=f"%(prog)s {__version__}")
     commands = parser.add_subparsers(dest="command", required=True)
     check = commands.add_parser("check", help="validate a tree as the nodes would")
     check.add_argument("tree")
-    diff = commands.add_parser("diff", help="what differs in effect between two trees")
+    diff = commands.add_parser("diff", help="show the effective differences between two trees")
     diff.add_argument("old")
     diff.add_argument("new")
     commands.add_parser("schema", help="print the JSON Schema of a subtree")
-    show = commands.add_parser("show", help="what one node holds")
+    show = commands.add_parser("show", help="show the settings that one node holds")
     show.add_argument("operator", help="operator address of the node, ip:port")
-    status = commands.add_parser("status", help="what is in force at each node")
+    status = commands.add_parser("status", help="show the revisions in force at each node")
     status.add_argument("operators", nargs="+", help="operator addresses, ip:port")
-    status.add_argument("--subtree", help="only this subtree; with --until, the one waited for")
-    status.add_argument("--until", type=int, metavar="REVISION", help="wait for this revision")
-    status.add_argument("--deadline", type=float, default=30.0, help="seconds to wait at most")
+    status.add_argument("--subtree", help="show only this subtree; with --until, wait for it")
+    status.add_argument(
+        "--until",
+        type=int,
+        metavar="REVISION",
+        help="wait until each node has this revision or a higher one",
+    )
+    status.add_argument(
+        "--deadline", type=float, default=30.0, help="maximum time to wait, in seconds"
+    )
     return parser
 
 
@@ -58,7 +65,7 @@
 
 
 def _effective_lines(subtrees):
-    """Return what follows from subtrees as sorted lines of text."""
+    """Return what `subtrees` put in force, as sorted lines of text, and the problems by path."""
     table = compile_tree(subtrees)
     lines = [
         f"route {path} {'/'.join(route.methods) or '*'} -> {route.service} "
@@ -99,7 +106,7 @@
         reply = await request(address, "GET", "/settings", seconds=NODE_TIMEOUT_SECONDS)
         return json.loads(reply.body)
     except Exception as error:
-        # A node that cannot be asked is a line in the answer.
+        # A node that cannot be queried is reported as a line of the output.
         return {"host": address, "subtrees": [], "problem": f"{type(error).__name__}: {error}"}
 
 
--- a/caperstack/settings/neighbours.py
+++ b/caperstack/settings/neighbours.py
@@ -1,4 +1,4 @@
-"""Which peers a node exchanges settings with, and which nodes read the platform."""
+"""Choose the peers that a node exchanges settings with and the nodes that read the platform."""
 
 from itertools import islice
 
@@ -6,15 +6,15 @@
 
 __all__ = ["FAN_OUT", "READERS_PER_ZONE", "Topology", "is_reader", "parents_of", "ranked"]
 
-#: Nodes of a zone that read the configuration service.
+#: Number of nodes in each zone that read the configuration service.
 READERS_PER_ZONE = 2
 
-#: Nodes that have the same first parent.
+#: Number of nodes that have the same first parent.
 FAN_OUT = 4
 
 
 def ranked(hosts):
-    """Return host names in an order that every node computes alike."""
+    """Return host names in a deterministic order that is the same on every node."""
     order = HostOrder(hosts)
     return [order.at(place) for place in range(len(order))]
 
@@ -24,15 +24,15 @@
 
     Notes
     -----
-    Nobody is elected.  Two nodes whose views of the zone differ may both read
-    or leave it to each other: the first costs a few reads, the second ends
-    when the peers' silence makes a node read for itself.
+    There is no election.  Nodes whose views of the zone differ may all read, which
+    costs a few reads, or none may read; then each reads directly once its peers
+    have been silent for long enough.
     """
     return host in ranked(zone_hosts)[:READERS_PER_ZONE]
 
 
 def parents_of(host, zone_hosts, first_hosts):
-    """Return the hosts that `host` dials for settings, the best first.
+    """Return the hosts that `host` dials for settings, in order of preference.
 
     Parameters
     ----------
@@ -46,14 +46,14 @@
     Returns
     -------
     list of str
-        For a node of rank r the tree parent, then nodes of lower rank.  A
-        reader's are the other readers.
+        For a reader, the other readers.  For any other node, its tree parent, then
+        other nodes of lower rank.
 
     Notes
     -----
-    The first parents form a tree of fan-out four, so news crosses a zone of
-    183 nodes in four steps and each node passes a body on about four times,
-    however large the zone is.
+    The first parents form a tree of fan-out four, so a change crosses a zone of 183
+    nodes in four steps, and each node forwards a body about four times whatever the
+    size of the zone.
     """
     return list(_parents(host, HostOrder(zone_hosts), first_hosts))
 
@@ -75,7 +75,7 @@
 
 
 class Topology:
-    """Whether this node reads, and whom it dials, as members come and go."""
+    """Track members and derive this node's role as a reader and the hosts that it dials."""
 
     def __init__(self, here, members):
         self._here = here
@@ -103,29 +103,28 @@
         return self._own_zone.place(self._here.host) < READERS_PER_ZONE
 
     def parents(self):
-        """Yield the hosts to dial for settings, the best first; see `parents_of`."""
+        """Yield the hosts to dial for settings, in order of preference; see `parents_of`."""
         others = (order for zone, order in self._zones.items() if zone != self._here.zone)
         yield from _parents(self._here.host, self._own_zone, (order.at(0) for order in others))
 
     def successors(self, count):
-        """Yield the next hosts in the order that every node computes alike, at most `count`."""
+        """Yield up to `count` hosts that follow this one in the order of all hosts."""
         return islice(self._ring.after(self._here.host), count)
 
     def nearest_successors(self, hosts, count):
-        """Return those of `hosts` that come next in that order, at most `count`."""
+        """Return up to `count` of `hosts`, the first that follow this one in the order of all."""
         size = len(self._ring)
         own = self._ring.place(self._here.host)
         return sorted(hosts, key=lambda host: (self._ring.place(host) - own) % size)[:count]
 
     @property
     def rank(self):
-        """This host's place in the order of readers, in which zones take turns.
+        """This host's rank in the fleet-wide order of readers, which alternates zones.
 
         Notes
         -----
-        Failure: a zone is cut off with all readers in it.  The first places are
-        in different zones, so the next reader in order is not cut off with the
-        first.
+        The first ranks are in different zones, so when a zone is partitioned with all
+        readers in it, the reader next in rank is not cut off with the first.
         """
         own = self._own_zone.place(self._here.host)
         others = [(z, len(order)) for z, order in self._zones.items() if z != self._here.zone]
--- a/caperstack/settings/restores.py
+++ b/caperstack/settings/restores.py
@@ -1,39 +1,41 @@
-"""For how long after the platform's store came back from a copy its items may be overtaken."""
+"""Track restores of the platform's store and how long its entries may be outdated."""
 
 from caperstack.clock import now
 from caperstack.settings.revisions import era_of
 
 __all__ = ["HEARTBEAT_SECONDS", "RETURN_SECONDS", "Restores"]
 
-#: For so long after the store was away, entries that are missing may still come
-#: back: their servers live and have yet to register again.
+#: Time in seconds after an outage or a restore of the store within which missing
+#: entries may still return: their backend servers are alive but not yet registered again.
 RETURN_SECONDS = 2.5
 
-#: After so many heartbeats that did not come the store takes an entry away.
+#: Number of missed heartbeats after which the store removes an entry.
 HEARTBEATS_TO_LAPSE = 3
 
-#: How often a backend server writes its entry, where the start settings do not say.
+#: Default interval at which a backend server writes its entry, in seconds; the start
+#: settings may set another.
 HEARTBEAT_SECONDS = 1.5
 
 
 class Restores:
-    """Notice that the store came back from a copy, and tell what to expect of it.
+    """Detect that the store was restored from a copy and tell how far to trust its entries.
 
     Notes
     -----
-    Failure: the copy holds entries of backend servers that have left since, or
-    that began to leave, and lacks those of servers that came. Taken as it is, it
-    sends calls to the former and none to the latter, until all have written
-    again what was lost.
+    The copy contains entries of backend servers that have since left or begun to
+    leave, and lacks those of servers that have since started.  Taken literally, calls
+    would go to the former and not to the latter until all servers have written their
+    lost entries again.
 
-    All nodes must count from the same moment, the first reading by any of them.
-    Failure: a node reads for all long after the store is back, and keeps what is
-    missing as if the store had just come back; calls go on to a server that left.
+    All nodes count from the same moment, the first read by any node.  Otherwise a
+    node that becomes the reader long after the restore would keep missing entries as
+    if the store had just been restored, and calls would still go to a server that
+    left.
 
     Parameters
     ----------
     heartbeat_seconds : float
-        How often a backend server writes its entry.
+        Interval at which a backend server writes its entry.
     """
 
     def __init__(self, heartbeat_seconds=HEARTBEAT_SECONDS):
@@ -43,33 +45,33 @@
 
     @property
     def era(self):
-        """How often the store has come back from a copy, as far as is known."""
+        """The number of restores of the store that this node knows of."""
         return self._era
 
     @property
     def began_at(self):
-        """The point at which any node first saw that era, as far as is known."""
+        """The earliest known time at which any node saw the current era, by the monotonic clock."""
         return self._began_at
 
     @property
     def missing_may_return(self):
-        """Whether what is missing may be written again."""
+        """Whether missing entries may still be written again."""
         return self._younger_than(RETURN_SECONDS)
 
     @property
     def may_be_overtaken(self):
-        """Whether entries may be of servers that have left since the copy was made."""
+        """Whether entries may belong to backend servers that have left since the copy was made."""
         return self._younger_than(RETURN_SECONDS + self._lapse_seconds)
 
     def _younger_than(self, seconds):
         return self._era > 0 and now() < self._began_at + seconds
 
     def note(self, revision):
-        """Note the era of a revision that is seen now."""
+        """Record the era of a revision that is read now."""
         self.note_era(era_of(revision), now())
 
     def note_era(self, era, began_at):
-        """Note an era that was seen first at `began_at`, by whomever."""
+        """Record an era that any node first saw at `began_at`."""
         if era > self._era:
             self._era = era
             self._began_at = began_at
--- a/caperstack/settings/revisions.py
+++ b/caperstack/settings/revisions.py
@@ -1,12 +1,12 @@
-"""Revisions that stay in order when the counter they come from is set back."""
+"""Revisions that stay ordered when the counter behind them is reset to a lower value."""
 
 __all__ = ["ERAS", "NUMBERS", "era_of", "format_revision", "number_of", "make_revision"]
 
-#: Bits of a revision for the counter's own value, and for the era above them.
+#: Bits of a revision for the counter's value, and above them for the era.
 NUMBER_BITS = 40
 ERA_BITS = 22
 
-#: Numbers and eras are below these.
+#: Exclusive upper limits of the counter's value and of the era.
 NUMBERS = 1 << NUMBER_BITS
 ERAS = 1 << ERA_BITS
 
@@ -17,21 +17,21 @@
     Parameters
     ----------
     era : int
-        How often the counter has been set back, below `ERAS`.
+        How many times the counter has been reset, below `ERAS`.
     number : int
         The counter's value, below `NUMBERS`.
 
     Notes
     -----
-    Failure: a store loses its last writes and counts on from an older revision.
-    What is written then looks older than what is held, and is ignored until the
-    count has caught up.
+    A store that loses its last writes continues from an older counter value.  Without
+    the era, later writes would look older than what the nodes hold and would be
+    ignored until the counter has caught up.
 
     References
     ----------
     .. [1] Junqueira, Reed, Serafini: "Zab: High-performance broadcast for
-       primary-backup systems", DSN 2011; its transaction ids put the epoch above
-       the counter alike.
+       primary-backup systems", DSN 2011.  Its transaction ids also place the epoch
+       above the counter.
     """
     return era << NUMBER_BITS | number
 
@@ -47,6 +47,6 @@
 
 
 def format_revision(revision):
-    """Return a revision as a person reads it: ``revision 17``, ``revision 17 of era 2``."""
+    """Return a revision as readable text: ``revision 17``, ``revision 17 of era 2``."""
     era = era_of(revision)
     return f"revision {number_of(revision)}" + (f" of era {era}" if era > 0 else "")
--- a/caperstack/settings/seen_reads.py
+++ b/caperstack/settings/seen_reads.py
@@ -1,4 +1,4 @@
-"""Readings of the platform that a node has heard of, told apart by number."""
+"""Detect duplicate announcements of platform reads by their numbers."""
 
 from collections import OrderedDict
 
@@ -7,29 +7,30 @@
 
 __all__ = ["SeenReads"]
 
-#: Readings that are remembered; a few a second are made in the whole fleet, and news
-#: of one goes round in less than a second.
+#: Number of reads remembered.  The whole fleet makes a few per second, and the
+#: announcement of each reaches all nodes in less than a second.
 MAX_SEEN_READS = 256
 
-#: A reading that began at most so long after the last one that was passed on, in
-#: seconds, is not passed on: it tells little that is new, and after a reader's death
-#: many nodes may read at once.
+#: A read that began less than this many seconds after the last forwarded one is not
+#: forwarded: it adds little, and after the failure of a reader many nodes may read at
+#: once.
 MIN_FORWARD_GAP_SECONDS = 0.2
 
 
 class SeenReads:
-    """Number the readings of this node, and tell new ones of others from known ones.
+    """Number the platform reads of this node and recognise announced reads already seen.
 
     Notes
     -----
-    Each reading goes round the fleet once: how long ago it began is only estimated,
-    too late by all delays on the way, so by its time alone a reading that comes back
-    may look newer than it was, and would go round for ever.
+    The announcement of a read circulates in the fleet once.  When the read began is
+    only estimated, too late by all delays on the way.  Judged by its time alone, an
+    announcement that comes back could look newer than before and would circulate for
+    ever.
 
     Parameters
     ----------
     host : str
-        This node.
+        The name of this node's host.
     """
 
     def __init__(self, host):
@@ -38,14 +39,14 @@
         self._forwarded_at = 0.0
 
     def begin(self, read_at):
-        """Return the number of this node's own reading, which is passed on."""
+        """Return a new number for a read by this node, which counts as forwarded."""
         number = hash_number(f"{self._host} {wall_microseconds()}")
         self.add(number)
         self._forwarded_at = read_at
         return number
 
     def add(self, number):
-        """Note the reading of that number; return whether it was not known."""
+        """Record a read by its number and return whether it is new."""
         if number in self._known:
             return False
         self._known[number] = True
@@ -54,7 +55,7 @@
         return True
 
     def should_forward(self, read_at):
-        """Return whether to pass on a new reading that began at `read_at`."""
+        """Return whether to forward a new read that began at `read_at`, and record it if so."""
         if read_at < self._forwarded_at + MIN_FORWARD_GAP_SECONDS:
             return False
         self._forwarded_at = read_at
