--- a/caperstack/settings/tests/test_comparison.py
+++ b/caperstack/settings/tests/test_comparison.py
@@ -1,4 +1,4 @@
-"""One comparison at a time, and digests that a change brings up to date."""
+"""Tests of the scheduling of comparisons and of the incremental digest."""
 
 import unittest
 
@@ -16,9 +16,8 @@
     """`Comparisons`."""
 
     def test_only_one_peer_is_compared_at_a_time(self):
-        # All hosts start together and a node hears from fifty peers that they
-        # hold something else.  It compares with one; what that one brings makes
-        # the others equal, and they are not asked.
+        # All hosts start together and the digests of fifty peers differ.  The first
+        # comparison brings this node to their digest, so the others are skipped.
         comparisons = Comparisons()
         for number in range(50):
             comparisons.differs(f"h{number}", 7)
@@ -29,7 +28,7 @@
         self.assertIsNone(comparisons.begin(own_digest=7))
 
     def test_comparison_with_unresponsive_peer_times_out(self):
-        # The peer is killed while it is compared with; its word never comes.
+        # The peer is killed during the comparison and never replies.
         moment = [100.0]
         with use_source(lambda: moment[0]):
             comparisons = Comparisons()
--- a/caperstack/settings/tests/test_store.py
+++ b/caperstack/settings/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store and what follows from subtrees: revisions never fall, claims stay inside."""
+"""Tests of the settings store, the compilation of subtrees and the choice of peers."""
 
 import asyncio
 import unittest
@@ -13,7 +13,7 @@
 
 
 class Recorder:
-    """Stands for events and metrics."""
+    """Stand-in for events and metrics that ignores all calls."""
 
     def state(self, *_, **__):
         pass
@@ -58,9 +58,8 @@
         self.assertIsNone(store.route("GET", "/a"))
 
     def test_bad_subtree_is_refused_whole_and_others_change(self):
-        # A team publishes a route with a bad deadline beside a good one.
-        # Callers of the good one keep the last good settings, and another
-        # team's change is in force at once.
+        # A team publishes an invalid route beside a valid one.  Its last valid settings
+        # stay in force, and a change of another subtree takes effect at once.
         store = make_store()
         store.take("", 1, ROOT | routes("/root", "r"), "platform")
         store.take("team", 2, routes("/a", "s"), "platform")
@@ -90,7 +89,7 @@
             self.assertIn("outside the subtree", table.problems["team"][0])
 
     def test_only_the_root_evacuates_zones(self):
-        """A team evacuates a zone under all other teams."""
+        """A team must not evacuate a zone that other teams use."""
         root = {"evacuated_zones": ["a"], "teams": {"team": {"routes": ["/t"]}}}
         table = compile_tree(self.parsed(root=root, team={"evacuated_zones": ["b"]}))
         self.assertEqual(table.evacuated_zones, frozenset("a"))
@@ -126,7 +125,7 @@
 
 
 class TestNeighbours(unittest.TestCase):
-    """Who reads, and who gets settings from whom."""
+    """`is_reader` and `parents_of`."""
 
     @given(st.sets(st.text("abcdef0123456789", min_size=1, max_size=6), min_size=1, max_size=60))
     def test_parents_of_every_node_include_a_reader(self, hosts):
--- a/caperstack/settings/tests/test_sync.py
+++ b/caperstack/settings/tests/test_sync.py
@@ -1,4 +1,4 @@
-"""Who is told and asked what, with connections that record what they are sent."""
+"""Tests of the settings replication, with connections that record what is sent."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
 
 
 class Connection:
-    """Records the messages that are sent on it."""
+    """Stand-in for a connection that records the messages sent on it."""
 
     def __init__(self):
         self.sent = []
@@ -75,9 +75,8 @@
         return [h for h, c in self.peers.items() if any(isinstance(m, kind) for m in c.sent)]
 
     async def test_change_is_announced_to_few_hosts_of_each_zone(self):
-        # A reader on a thin link finds a large configuration.  Were all 39
-        # peers told at once, all would ask it for the body, and its link
-        # would be full for seconds; they hear of it from each other.
+        # If a reader notified all 39 peers of a large configuration, all would fetch the
+        # body from it and saturate its link for seconds.
         self.store.take("", 5, ROUTES, "platform")
         await asyncio.sleep(0)
         hosts_sent = set(self.hosts_sent(Revisions))
@@ -90,7 +89,7 @@
         self.assertLessEqual(set(self.sync._topology.successors(SUCCESSORS)), hosts_sent)
 
     async def test_calls_wait_for_the_settings_of_a_peer(self):
-        """A node that starts hears a peer, and says 404 while the newer routes are on their way."""
+        """A starting node must not answer 404 while newer routes of a peer are in transfer."""
         waiting = asyncio.create_task(self.sync.wait_for_agreement())
         self.sync.take("h1", self.peers["h1"], Digest(1), b"")
         self.sync.take("h1", self.peers["h1"], Revisions({"": 5}), b"")
@@ -101,7 +100,7 @@
         await asyncio.wait_for(waiting, 0.1)
 
     async def test_body_is_requested_from_another_peer_when_connection_closes(self):
-        """The peer that was asked for a body is killed, and nobody tells of it again."""
+        """The peer that was asked for a body is killed, and no peer announces it again."""
         for host in ("h1", "h2"):
             self.sync.take(host, self.peers[host], Revisions({"": 5}), b"")
         self.assertEqual(self.hosts_sent(Fetch), ["h1"])
@@ -110,7 +109,7 @@
         self.assertEqual(self.hosts_sent(Fetch), ["h1", "h2"])
 
     async def test_body_is_requested_from_another_peer_after_timeout(self):
-        """The peer that was asked has gone silent, and nobody tells of that revision again."""
+        """The peer that was asked does not reply, and no peer announces the revision again."""
         with mock.patch("caperstack.settings.sync.FETCH_TIMEOUT_SECONDS", 0.01):
             with mock.patch("caperstack.settings.fetches.FETCH_TIMEOUT_SECONDS", 0.01):
                 for host in ("h1", "h2"):
@@ -119,9 +118,9 @@
         self.assertEqual(self.hosts_sent(Fetch), ["h1", "h2"])
 
     async def test_change_is_sent_over_the_remaining_connection(self):
-        # A backend server leaves the list and the link to its host is closed.
-        # The host's own connection to this node is open still, and a change
-        # must reach it: its callers go on calling through it.
+        # A backend server leaves the host list and the link to its host is closed, but
+        # the connection dialled by that host is still open.  A change must reach the host
+        # over it, since callers still use that host as their entry.
         for host in list(self.peers)[8:]:
             self.peers[host].closed = True
             self.sync.closed(host)
@@ -153,8 +152,8 @@
         self.assertEqual(self.hosts_sent(Fetch), ["h1", "h2"])
 
     async def test_body_that_comes_from_another_peer_ends_the_comparison(self):
-        # A change is told by h1 and its body is on the way when h2 is compared
-        # with.  h3 holds something else as well, and must not wait for h2's end.
+        # The body of a change announced by h1 is in transfer during a comparison with h2.
+        # The digest of h3 differs too; its comparison must start when the body arrives.
         self.sync.take("h1", self.peers["h1"], Revisions({"": 5}), b"")
         self.sync.take("h2", self.peers["h2"], Digest(1), b"")
         self.sync.take("h2", self.peers["h2"], Revisions({"": 5}, [0]), b"")
@@ -176,7 +175,7 @@
         self.assertEqual((other.get("").revision, other.get("").document), (5, ROUTES))
 
     async def test_body_exceeding_size_limit_when_decompressed_is_rejected(self):
-        # Rubbish of 2 kB that unpacks to gigabytes must not fill the memory.
+        # A body of a few kB that decompresses to far more must not exhaust the memory.
         bomb = zlib.compress(bytes(2 * MAX_BODY_BYTES))
         message = SubtreeBody(1, len(bomb), "", 9, False)
         with self.assertRaises(Exception) as caught:
@@ -194,21 +193,21 @@
         self.assertEqual(json.dumps(self.store.revisions), "{}")
 
     async def test_platform_read_is_forwarded_once(self):
-        # The reader is connected to a part of the fleet. Whoever hears of a
-        # new reading tells three others, and nobody tells an old one again.
+        # A reader is connected to a part of the fleet only.  Each node forwards a new read
+        # to three successors and never forwards the same read again.
         for host, way, reading in (("h1", 0.010, 7), ("h2", 0.030, 7), ("h3", 0.900, 8)):
             self.receive_read_notice(host, 100.0 + way, reading)
         self.assertEqual(len(self.read_notices_sent()), 6)
 
     async def test_delayed_duplicate_of_platform_read_is_not_forwarded(self):
-        """Messages are slow, word of one reading looks newer each time round, and nobody reads."""
+        """Delays make one read look newer each time round, so it could circulate for ever."""
         for host, way in (("h1", 0.010), ("h2", 0.900), ("h3", 1.800)):
             self.receive_read_notice(host, 100.0 + way, 7)
         self.assertEqual(len(self.read_notices_sent()), 3)
         self.assertEqual(len(self.heard), 1)
 
     async def test_simultaneous_platform_reads_are_not_all_forwarded(self):
-        """A reader dies, sixty nodes read in one moment, and word of each goes round."""
+        """A reader fails and sixty nodes read at once; not every read may be forwarded."""
         for number in range(30):
             self.receive_read_notice(f"h{number + 1}", 100.0 + number / 1000, number + 1)
         self.assertEqual(len(self.read_notices_sent()), 3)
@@ -218,5 +217,5 @@
         self.sync.take(host, self.peers[host], Digest(1, reading, 10_000), b"")
 
     def read_notices_sent(self):
-        hosts_sent = [m for c in self.peers.values() for m in c.sent if isinstance(m, Digest)]
-        return [m for m in hosts_sent if m.reading]
+        digests = [m for c in self.peers.values() for m in c.sent if isinstance(m, Digest)]
+        return [m for m in digests if m.reading]
