--- a/caperstack/settings/reader.py
+++ b/caperstack/settings/reader.py
@@ -90,7 +90,7 @@
                 self._direct_read_interval() * random.uniform(1.0, 2.0)
             )
             self._metrics.count("settings_reads_for_self")
-            await self._take_index(client, await self._get(client, "/v1/subtrees", READ_SECONDS))
+            await self._apply_index(client, await self._get(client, "/v1/subtrees", READ_SECONDS))
         else:
             await asyncio.sleep(ROLE_CHECK_SECONDS * random.uniform(0.8, 1.2))
 
@@ -106,20 +106,22 @@
             index = await self._get(client, "/v1/subtrees", READ_SECONDS)
         else:
             index = await self._get(client, f"/v1/watch?after={self._last_revision}", WATCH_SECONDS)
-        await self._take_index(client, index)
+        await self._apply_index(client, index)
 
-    async def _take_index(self, client, index):
+    async def _apply_index(self, client, index):
         subtrees = index.get("subtrees")
         if not isinstance(subtrees, dict):
             raise PlatformError("no subtrees in the index", step="index", peer=self._address)
         for path in sorted(subtrees):
             if self._store.wants(path, subtrees[path]):
-                self._take(await self._get(client, f"/v1/subtrees/{quote(path)}", READ_SECONDS))
+                self._apply_subtree(
+                    await self._get(client, f"/v1/subtrees/{quote(path)}", READ_SECONDS)
+                )
         self._last_revision = max(self._last_revision, index.get("revision", 0))
         self._failures = 0
         self._record_reachability(True, "readable")
 
-    def _take(self, document):
+    def _apply_subtree(self, document):
         try:
             path, revision, value = (document[name] for name in ("path", "revision", "value"))
         except KeyError as error:
--- a/caperstack/settings/tests/test_store.py
+++ b/caperstack/settings/tests/test_store.py
@@ -12,7 +12,7 @@
 from caperstack.settings.store import SettingsStore
 
 
-class Recorder:
+class IgnoredCalls:
     """Stand-in for events and metrics that ignores all calls."""
 
     def state(self, *_, **__):
@@ -24,7 +24,7 @@
 
 def make_store():
     store = SettingsStore(TreeCodec())
-    asyncio.run(store.start(SimpleNamespace(find=lambda name: Recorder())))
+    asyncio.run(store.start(SimpleNamespace(find=lambda name: IgnoredCalls())))
     return store
 
 
--- a/caperstack/settings/tests/test_sync.py
+++ b/caperstack/settings/tests/test_sync.py
@@ -64,8 +64,8 @@
         with mock.patch("caperstack.settings.sync.START_TIMEOUT_SECONDS", 0.0):
             await self.sync.start(kernel)
         self.addAsyncCleanup(self.sync.stop)
-        self.heard = []
-        self.sync.on_read(self.heard.append)
+        self.read_times = []
+        self.sync.on_read(self.read_times.append)
         self.peers = {host: Connection() for host in members if host != "h0"}
         for host, connection in self.peers.items():
             self.sync.opened(host, connection)
@@ -134,11 +134,11 @@
         self.assertEqual([type(message) for message in accepted.sent], [Revisions])
 
     async def test_platform_read_is_announced_to_unlisted_host(self):
-        stranger = self.peers["new"] = Connection()
-        self.sync.opened("new", stranger)
+        unlisted = self.peers["new"] = Connection()
+        self.sync.opened("new", unlisted)
         self.peers["h1"].arrival = 100.0
         self.sync.take("h1", self.peers["h1"], Digest(1, 7, 10_000), b"")
-        self.assertTrue([m for m in stranger.sent if isinstance(m, Digest) and m.reading])
+        self.assertTrue([m for m in unlisted.sent if isinstance(m, Digest) and m.reading])
 
     async def test_body_is_requested_from_one_peer_at_a_time(self):
         for host in ("h1", "h2", "h3"):
@@ -184,27 +184,27 @@
         self.assertIsNone(self.store.get(""))
 
     async def test_age_of_platform_read_is_reported_to_listeners(self):
-        heard = []
-        self.sync.on_read(heard.append)
+        read_times = []
+        self.sync.on_read(read_times.append)
         self.peers["h1"].arrival = 100.0
         self.sync.take("h1", self.peers["h1"], Digest(0, 7, 250_000), b"")
         self.sync.take("h1", self.peers["h1"], Digest(0), b"")
-        self.assertEqual(heard, [99.75])
+        self.assertEqual(read_times, [99.75])
         self.assertEqual(json.dumps(self.store.revisions), "{}")
 
     async def test_platform_read_is_forwarded_once(self):
         # A reader is connected to a part of the fleet only.  Each node forwards a new read
         # to three successors and never forwards the same read again.
-        for host, way, reading in (("h1", 0.010, 7), ("h2", 0.030, 7), ("h3", 0.900, 8)):
-            self.receive_read_notice(host, 100.0 + way, reading)
+        for host, delay, reading in (("h1", 0.010, 7), ("h2", 0.030, 7), ("h3", 0.900, 8)):
+            self.receive_read_notice(host, 100.0 + delay, reading)
         self.assertEqual(len(self.read_notices_sent()), 6)
 
     async def test_delayed_duplicate_of_platform_read_is_not_forwarded(self):
         """Delays make one read look newer each time round, so it could circulate for ever."""
-        for host, way in (("h1", 0.010), ("h2", 0.900), ("h3", 1.800)):
-            self.receive_read_notice(host, 100.0 + way, 7)
+        for host, delay in (("h1", 0.010), ("h2", 0.900), ("h3", 1.800)):
+            self.receive_read_notice(host, 100.0 + delay, 7)
         self.assertEqual(len(self.read_notices_sent()), 3)
-        self.assertEqual(len(self.heard), 1)
+        self.assertEqual(len(self.read_times), 1)
 
     async def test_simultaneous_platform_reads_are_not_all_forwarded(self):
         """A reader fails and sixty nodes read at once; not every read may be forwarded."""
