--- a/caperstack/settings/compile.py
+++ b/caperstack/settings/compile.py
@@ -1,4 +1,4 @@
-"""From subtrees to what a node looks up: routes and services with defaults filled in."""
+"""Compile subtrees into the routing table: routes, and services with defaults applied."""
 
 from dataclasses import fields, replace
 
@@ -9,30 +9,30 @@
 
 
 class TreeCodec:
-    """Parses and compiles subtrees, for `caperstack.settings.store.SettingsStore`."""
+    """Parse and compile subtrees for `caperstack.settings.store.SettingsStore`."""
 
     def parse(self, path, document):
-        """Return the `caperstack.config.tree.Subtree` in `document`."""
+        """Return `document` parsed as a `caperstack.config.tree.Subtree`."""
         return parse_subtree(path, document)
 
     def is_overtaken(self, held, revision, document):
-        """Return whether a higher revision may be of an earlier time: never here."""
+        """Return whether `document` may be outdated despite its higher revision: never here."""
         return False
 
     def compile(self, subtrees):
-        """Return the `RoutingTable` of subtrees by path."""
+        """Return the `RoutingTable` compiled from `subtrees`, a dict by path."""
         return compile_tree(subtrees)
 
     def affects_routes(self, path):
-        """Return whether a change of subtree `path` changes the table: each does."""
+        """Return whether subtree `path` affects the routing table: always true here."""
         return True
 
     def dates_routes(self, path):
-        """Return whether the revision of subtree `path` tells the age of the table: each does."""
+        """Return whether the revision of subtree `path` dates the table: always true here."""
         return True
 
     def complete(self, subtrees):
-        """Return whether all routes are known: a tree without subtrees has none."""
+        """Return whether all routes are known: always true, since a tree may have none."""
         return True
 
 
@@ -44,7 +44,7 @@
 
 
 def compile_tree(subtrees):
-    """Return the `RoutingTable` of subtrees.
+    """Return the `RoutingTable` compiled from subtrees.
 
     Parameters
     ----------
@@ -53,8 +53,8 @@
 
     Notes
     -----
-    The result depends on the subtrees alone, not on the order in which they
-    came, so that nodes with the same revisions do the same.
+    The result depends on the subtrees only, not on the order in which they were
+    received, so that nodes with the same revisions route alike.
     """
     table = RoutingTable()
     if "" in subtrees:
@@ -64,19 +64,21 @@
     for path in sorted(subtrees, key=lambda p: (p.count("/") + bool(p), p)):
         subtree = subtrees[path]
         parent = parent_of(path)
-        problems = _outside(path, subtree, subtrees.get(parent) if parent is not None else None)
+        problems = _grant_violations(
+            path, subtree, subtrees.get(parent) if parent is not None else None
+        )
         inherited = EffectiveService() if parent is None else defaults.get(parent)
         if inherited is None:
             problems.append("the parent subtree is missing")
             inherited = EffectiveService()
-        ceiling = _tightened(bounds.get(parent, {}), subtree.bounds)
+        ceiling = _tightened_bounds(bounds.get(parent, {}), subtree.bounds)
         bounds[path] = ceiling
-        defaults[path] = _merged(inherited, subtree.defaults, ceiling)
+        defaults[path] = _merged_service(inherited, subtree.defaults, ceiling)
         if problems:
             table.problems[path] = problems
             continue
         for name, settings in subtree.services.items():
-            table.services[name] = _merged(defaults[path], settings, ceiling)
+            table.services[name] = _merged_service(defaults[path], settings, ceiling)
         for route in subtree.routes:
             table.add(_route(route))
     return table
@@ -98,8 +100,8 @@
     )
 
 
-def _outside(path, subtree, parent):
-    """Return what `subtree` claims beyond its grant, a list of reasons."""
+def _grant_violations(path, subtree, parent):
+    """Return how `subtree` exceeds the grant of its parent, a list of reasons."""
     if not path:
         return []
     if parent is None:
@@ -118,25 +120,26 @@
     paths += [prefix for child in subtree.teams.values() for prefix in child.routes]
     return [
         f"service {name} is outside the subtree" for name in sorted(services - set(grant.services))
-    ] + [f"route {p} is outside the subtree" for p in paths if not _granted(p, grant.routes)]
+    ] + [f"route {p} is outside the subtree" for p in paths if not _is_granted(p, grant.routes)]
 
 
-def _granted(path, prefixes):
+def _is_granted(path, prefixes):
     return any(
         path == prefix.rstrip("/") or path.startswith(prefix.rstrip("/") + "/")
         for prefix in prefixes
     )
 
 
-def _tightened(ceiling, bounds):
-    """Return the lower of the parent's and the subtree's own ceilings."""
+def _tightened_bounds(ceiling, bounds):
+    """Return the lower of the parent's and the subtree's own ceilings by setting, a dict."""
     result = dict(ceiling)
     for name, value in bounds.model_dump(exclude_none=True).items():
         result[name] = min(value, result.get(name, value))
     return result
 
 
-def _merged(base, settings, ceiling):
+def _merged_service(base, settings, ceiling):
+    """Return `base` overridden by `settings`, with each value limited by `ceiling`."""
     changes = settings.model_dump(exclude_none=True)
     merged = replace(base, **changes)
     lowered = {
--- a/caperstack/settings/main.py
+++ b/caperstack/settings/main.py
@@ -1,4 +1,4 @@
-"""caperstack-settings: check a tree, compare two, ask the fleet what is in force."""
+"""Command line tool that checks and compares trees and queries the settings of nodes."""
 
 import argparse
 import asyncio
@@ -12,13 +12,13 @@
 from caperstack.config.tree import parse_subtree, subtree_schema
 from caperstack.exception import ConfigurationError
 from caperstack.settings.compile import compile_tree
-from caperstack.settings.revisions import in_words
+from caperstack.settings.revisions import format_revision
 
 __all__ = ["main"]
 
 EXIT_REFUSED = 1
 EXIT_BAD_ARGUMENTS = 2
-ASK_SECONDS = 3.0
+NODE_TIMEOUT_SECONDS = 3.0
 POLL_SECONDS = 0.2
 
 
@@ -26,23 +26,30 @@
     parser = argparse.ArgumentParser(
         prog="caperstack-settings",
         description="Work with the settings of teams. A tree is a JSON object: subtree path to "
-        'subtree, "" for the root. Nothing here changes anything.',
+        'subtree, "" for the root. No command changes any settings.',
     )
     parser.add_argument("--version", action="version", version=f"%(prog)s {__version__}")
     commands = parser.add_subparsers(dest="command", required=True)
     check = commands.add_parser("check", help="validate a tree as the nodes would")
     check.add_argument("tree")
-    diff = commands.add_parser("diff", help="what differs in effect between two trees")
+    diff = commands.add_parser("diff", help="show the effective differences between two trees")
     diff.add_argument("old")
     diff.add_argument("new")
     commands.add_parser("schema", help="print the JSON Schema of a subtree")
-    show = commands.add_parser("show", help="what one node holds")
+    show = commands.add_parser("show", help="show the settings that one node holds")
     show.add_argument("operator", help="operator address of the node, ip:port")
-    status = commands.add_parser("status", help="what is in force at each node")
+    status = commands.add_parser("status", help="show the revisions in force at each node")
     status.add_argument("operators", nargs="+", help="operator addresses, ip:port")
-    status.add_argument("--subtree", help="only this subtree; with --until, the one waited for")
-    status.add_argument("--until", type=int, metavar="REVISION", help="wait for this revision")
-    status.add_argument("--deadline", type=float, default=30.0, help="seconds to wait at most")
+    status.add_argument("--subtree", help="show only this subtree; with --until, wait for it")
+    status.add_argument(
+        "--until",
+        type=int,
+        metavar="REVISION",
+        help="wait until each node has this revision or a higher one",
+    )
+    status.add_argument(
+        "--deadline", type=float, default=30.0, help="maximum time to wait, in seconds"
+    )
     return parser
 
 
@@ -57,8 +64,8 @@
     return {name: parse_subtree(name, document) for name, document in documents.items()}
 
 
-def _effect(subtrees):
-    """Return what follows from subtrees as sorted lines of text."""
+def _effective_lines(subtrees):
+    """Return what `subtrees` put in force, as sorted lines of text, and the problems by path."""
     table = compile_tree(subtrees)
     lines = [
         f"route {path} {'/'.join(route.methods) or '*'} -> {route.service} "
@@ -72,7 +79,7 @@
 
 
 def _check(options):
-    lines, problems = _effect(_read_tree(options.tree))
+    lines, problems = _effective_lines(_read_tree(options.tree))
     for line in lines:
         print(line)
     for path, reasons in problems.items():
@@ -82,8 +89,8 @@
 
 
 def _diff(options):
-    old, _ = _effect(_read_tree(options.old))
-    new, _ = _effect(_read_tree(options.new))
+    old, _ = _effective_lines(_read_tree(options.old))
+    new, _ = _effective_lines(_read_tree(options.new))
     for line in difflib.unified_diff(old, new, options.old, options.new, lineterm="", n=0):
         print(line)
     return 0
@@ -94,21 +101,23 @@
     return 0
 
 
-async def _ask(address):
+async def _fetch_settings(address):
     try:
-        reply = await request(address, "GET", "/settings", seconds=ASK_SECONDS)
+        reply = await request(address, "GET", "/settings", seconds=NODE_TIMEOUT_SECONDS)
         return json.loads(reply.body)
     except Exception as error:
-        # A node that cannot be asked is a line in the answer.
+        # A node that cannot be queried is reported as a line of the output.
         return {"host": address, "subtrees": [], "problem": f"{type(error).__name__}: {error}"}
 
 
-def _row(host, subtree):
-    held = "deleted" if subtree["deleted"] else in_words(subtree["revision"])
+def _format_row(host, subtree):
+    held = "deleted" if subtree["deleted"] else format_revision(subtree["revision"])
     age = wall_microseconds() / 1e6 - subtree["since_us"] / 1e6
     text = f"{host:20} {subtree['path'] or '/':24} {held:14} {age:8.1f} s, from {subtree['source']}"
     if subtree["refused_reason"]:
-        text += f"; refused {in_words(subtree['refused_revision'])}: {subtree['refused_reason']}"
+        text += (
+            f"; refused {format_revision(subtree['refused_revision'])}: {subtree['refused_reason']}"
+        )
     for problem in subtree["problems"]:
         text += f"; not in force: {problem}"
     return text
@@ -120,10 +129,10 @@
             print(f"{answer['host']:20} cannot be asked: {answer['problem']}")
         for subtree in answer["subtrees"]:
             if only is None or subtree["path"] == only:
-                print(_row(answer["host"], subtree))
+                print(_format_row(answer["host"], subtree))
 
 
-def _all_at(answers, path, revision):
+def _all_have_reached(answers, path, revision):
     return all(
         any(s["path"] == path and s["revision"] >= revision for s in answer["subtrees"])
         for answer in answers
@@ -135,8 +144,8 @@
     path = (options.subtree or "").strip("/")
     only = None if options.subtree is None else path
     while True:
-        answers = await asyncio.gather(*(_ask(address) for address in options.operators))
-        done = options.until is None or _all_at(answers, path, options.until)
+        answers = await asyncio.gather(*(_fetch_settings(address) for address in options.operators))
+        done = options.until is None or _all_have_reached(answers, path, options.until)
         if done or now() > limit:
             _print_status(answers, only)
             return 0 if done else EXIT_REFUSED
@@ -144,21 +153,21 @@
 
 
 async def _show(options):
-    print(json.dumps(await _ask(options.operator), indent=2))
+    print(json.dumps(await _fetch_settings(options.operator), indent=2))
     return 0
 
 
-_COMMANDS = {"check": _check, "diff": _diff, "schema": _schema}
-_ASKING = {"show": _show, "status": _status}
+_LOCAL_COMMANDS = {"check": _check, "diff": _diff, "schema": _schema}
+_NODE_COMMANDS = {"show": _show, "status": _status}
 
 
 def main(arguments=None):
     """Run the command line; return the exit status."""
     options = _parser().parse_args(arguments)
     try:
-        if options.command in _ASKING:
-            return asyncio.run(_ASKING[options.command](options))
-        return _COMMANDS[options.command](options)
+        if options.command in _NODE_COMMANDS:
+            return asyncio.run(_NODE_COMMANDS[options.command](options))
+        return _LOCAL_COMMANDS[options.command](options)
     except (OSError, ConfigurationError) as error:
         print(f"caperstack-settings: {error}", file=sys.stderr)
         return EXIT_BAD_ARGUMENTS
--- a/caperstack/settings/reader.py
+++ b/caperstack/settings/reader.py
@@ -1,4 +1,4 @@
-"""Read and watch the platform's configuration service, where this node is a reader."""
+"""Read the platform's configuration service: readers watch it, other nodes as a fallback."""
 
 import asyncio
 import json
@@ -13,47 +13,50 @@
 
 __all__ = ["SettingsReader"]
 
-#: The platform ends a watch after 30 s; a dead one shows a little later.
+#: Timeout of a watch request.  The platform ends a watch after 30 s, so a longer one
+#: means that the connection is dead.
 WATCH_SECONDS = 40.0
 READ_SECONDS = 5.0
 
 RETRY_SECONDS = 0.5
-RETRY_SECONDS_MOST = 5.0
+MAX_RETRY_SECONDS = 5.0
 
-#: Calls a second that all nodes together may make when they must read for
-#: themselves, a quarter of what the platform allows to everyone.
-FLEET_READS_PER_SECOND = 500
-READS_FOR_SELF = 3
-SELF_READ_SECONDS = 5.0
+#: Requests per second that all nodes together may make when they read without their
+#: peers: a quarter of the platform's limit for all clients.
+FLEET_REQUESTS_PER_SECOND = 500
+#: Requests that one such read of a node is assumed to take.
+REQUESTS_PER_DIRECT_READ = 3
+MIN_DIRECT_READ_INTERVAL_SECONDS = 5.0
 
-LOOK_SECONDS = 0.5
+#: Mean interval at which a node that is not a reader checks whether it must read.
+ROLE_CHECK_SECONDS = 0.5
 
-MAX_VALUE = 2 * 1024 * 1024
+MAX_VALUE_BYTES = 2 * 1024 * 1024
 
 
 class SettingsReader:
-    """Watch the service as one of the zone's readers, or read when peers go silent.
+    """Watch the service as a reader of the zone, or read it when all peers are silent.
 
     Notes
     -----
-    Failure: after an outage, or a restart of everything, each node asks the
-    service for each subtree at once, the service is over its rate, and nobody
-    gets settings.  Here two nodes of a zone read; the others wait for them,
-    and read for themselves only after the peers' silence, at a pace that is
-    slower the larger the fleet is.
+    If every node requested every subtree after an outage or a restart of the whole
+    fleet, the service would exceed its rate limit and no node would get settings.
+    So only two nodes of each zone read; the others get settings from them and read
+    directly only when all their peers are silent, at an interval that grows with the
+    size of the fleet.
     """
 
     def __init__(self, here):
         self._here = here
         self._address = here.configuration
-        self._seen = 0
+        self._last_revision = 0
         self._failures = 0
         self._reachable = None
-        self._self_read_at = 0.0
+        self._direct_read_at = 0.0
         self._task = None
 
     async def start(self, kernel):
-        """Start reading."""
+        """Start reading, if the address of a configuration service is set."""
         self._store = kernel.find("settings")
         self._members = kernel.find("members")
         self._topology = Topology(self._here, self._members)
@@ -61,57 +64,64 @@
         self._metrics = kernel.find("metrics")
         self._events = kernel.find("events")
         if self._address is not None:
-            self._task = asyncio.create_task(self._read_for_ever())
+            self._task = asyncio.create_task(self._read_loop())
 
     async def stop(self):
         """Stop reading."""
         if self._task is not None:
             self._task.cancel()
 
-    async def _read_for_ever(self):
-        client = AsyncHTTPClient(max_body_size=MAX_VALUE)
+    async def _read_loop(self):
+        client = AsyncHTTPClient(max_body_size=MAX_VALUE_BYTES)
         while True:
             try:
-                await self._step(client)
+                await self._read_once(client)
             except PlatformError as error:
                 self._failures += 1
-                self._note(False, str(error))
-                wait = min(RETRY_SECONDS_MOST, RETRY_SECONDS * 2 ** min(self._failures, 8))
+                self._record_reachability(False, str(error))
+                wait = min(MAX_RETRY_SECONDS, RETRY_SECONDS * 2 ** min(self._failures, 8))
                 await asyncio.sleep(wait * random.uniform(0.5, 1.0))
 
-    async def _step(self, client):
+    async def _read_once(self, client):
         if self._topology.reads:
             await self._watch(client)
-        elif self._sync.silent and now() >= self._self_read_at:
-            self._self_read_at = deadline_after(self._pace() * random.uniform(1.0, 2.0))
+        elif self._sync.silent and now() >= self._direct_read_at:
+            self._direct_read_at = deadline_after(
+                self._direct_read_interval() * random.uniform(1.0, 2.0)
+            )
             self._metrics.count("settings_reads_for_self")
-            await self._take_index(client, await self._get(client, "/v1/subtrees", READ_SECONDS))
+            await self._apply_index(client, await self._get(client, "/v1/subtrees", READ_SECONDS))
         else:
-            await asyncio.sleep(LOOK_SECONDS * random.uniform(0.8, 1.2))
+            await asyncio.sleep(ROLE_CHECK_SECONDS * random.uniform(0.8, 1.2))
 
-    def _pace(self):
+    def _direct_read_interval(self):
         fleet = len(self._members)
-        return max(SELF_READ_SECONDS, fleet * READS_FOR_SELF / FLEET_READS_PER_SECOND)
+        return max(
+            MIN_DIRECT_READ_INTERVAL_SECONDS,
+            fleet * REQUESTS_PER_DIRECT_READ / FLEET_REQUESTS_PER_SECOND,
+        )
 
     async def _watch(self, client):
-        if self._seen == 0:
+        if self._last_revision == 0:
             index = await self._get(client, "/v1/subtrees", READ_SECONDS)
         else:
-            index = await self._get(client, f"/v1/watch?after={self._seen}", WATCH_SECONDS)
-        await self._take_index(client, index)
+            index = await self._get(client, f"/v1/watch?after={self._last_revision}", WATCH_SECONDS)
+        await self._apply_index(client, index)
 
-    async def _take_index(self, client, index):
+    async def _apply_index(self, client, index):
         subtrees = index.get("subtrees")
         if not isinstance(subtrees, dict):
             raise PlatformError("no subtrees in the index", step="index", peer=self._address)
         for path in sorted(subtrees):
             if self._store.wants(path, subtrees[path]):
-                self._take(await self._get(client, f"/v1/subtrees/{quote(path)}", READ_SECONDS))
-        self._seen = max(self._seen, index.get("revision", 0))
+                self._apply_subtree(
+                    await self._get(client, f"/v1/subtrees/{quote(path)}", READ_SECONDS)
+                )
+        self._last_revision = max(self._last_revision, index.get("revision", 0))
         self._failures = 0
-        self._note(True, "readable")
+        self._record_reachability(True, "readable")
 
-    def _take(self, document):
+    def _apply_subtree(self, document):
         try:
             path, revision, value = (document[name] for name in ("path", "revision", "value"))
         except KeyError as error:
@@ -127,13 +137,13 @@
             )
             document = json.loads(response.body)
         except Exception as error:
-            # Down, slow or not JSON: all the same, the settings held stay.
+            # Unreachable, slow or not JSON: in each case the settings held stay in force.
             raise PlatformError(str(error), step="read", peer=self._address) from None
         if not isinstance(document, dict):
             raise PlatformError("not a JSON object", step="read", peer=self._address)
         return document
 
-    def _note(self, reachable, text):
+    def _record_reachability(self, reachable, text):
         if reachable != self._reachable:
             self._events.state("configuration service", self._reachable, text, self._address)
             self._reachable = reachable
--- a/caperstack/settings/tests/test_store.py
+++ b/caperstack/settings/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store and what follows from subtrees: revisions never fall, claims stay inside."""
+"""Tests of the settings store, the compilation of subtrees and the choice of peers."""
 
 import asyncio
 import unittest
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 
 from caperstack.settings.compile import TreeCodec, compile_tree
-from caperstack.settings.neighbours import READERS, is_reader, parents_of, ranked
+from caperstack.settings.neighbours import READERS_PER_ZONE, is_reader, parents_of, ranked
 from caperstack.settings.store import SettingsStore
 
 
-class Recorder:
-    """Stands for events and metrics."""
+class IgnoredCalls:
+    """Stand-in for events and metrics that ignores all calls."""
 
     def state(self, *_, **__):
         pass
@@ -24,7 +24,7 @@
 
 def make_store():
     store = SettingsStore(TreeCodec())
-    asyncio.run(store.start(SimpleNamespace(find=lambda name: Recorder())))
+    asyncio.run(store.start(SimpleNamespace(find=lambda name: IgnoredCalls())))
     return store
 
 
@@ -58,9 +58,8 @@
         self.assertIsNone(store.route("GET", "/a"))
 
     def test_bad_subtree_is_refused_whole_and_others_change(self):
-        # A team publishes a route with a bad deadline beside a good one.
-        # Callers of the good one keep the last good settings, and another
-        # team's change is in force at once.
+        # A team publishes an invalid route beside a valid one.  Its last valid settings
+        # stay in force, and a change of another subtree takes effect at once.
         store = make_store()
         store.take("", 1, ROOT | routes("/root", "r"), "platform")
         store.take("team", 2, routes("/a", "s"), "platform")
@@ -90,7 +89,7 @@
             self.assertIn("outside the subtree", table.problems["team"][0])
 
     def test_only_the_root_evacuates_zones(self):
-        """A team evacuates a zone under all other teams."""
+        """A team must not evacuate a zone that other teams use."""
         root = {"evacuated_zones": ["a"], "teams": {"team": {"routes": ["/t"]}}}
         table = compile_tree(self.parsed(root=root, team={"evacuated_zones": ["b"]}))
         self.assertEqual(table.evacuated_zones, frozenset("a"))
@@ -126,13 +125,13 @@
 
 
 class TestNeighbours(unittest.TestCase):
-    """Who reads, and who gets settings from whom."""
+    """`is_reader` and `parents_of`."""
 
     @given(st.sets(st.text("abcdef0123456789", min_size=1, max_size=6), min_size=1, max_size=60))
-    def test_every_node_hangs_on_a_reader(self, hosts):
+    def test_parents_of_every_node_include_a_reader(self, hosts):
         order = ranked(hosts)
         readers = {host for host in hosts if is_reader(host, hosts)}
-        self.assertEqual(len(readers), min(READERS, len(hosts)))
+        self.assertEqual(len(readers), min(READERS_PER_ZONE, len(hosts)))
         for host in hosts - readers:
             parents = parents_of(host, hosts, [])
             self.assertTrue(all(order.index(p) < order.index(host) for p in parents))
