--- a/caperstack/platform/reader.py
+++ b/caperstack/platform/reader.py
@@ -26,28 +26,28 @@
 #: everywhere two seconds after the store has it: the fourth node in order still
 #: reads in time when the first three have died or gone silent.
 READ_AFTER_SECONDS = 0.75
-STEP_SECONDS = 0.25
-STEPS_MOST = 4
+RANK_STEP_SECONDS = 0.25
+MAX_RANK_STEPS = 4
 
 #: After a failed reading a node waits so long, and counts itself behind all
 #: others that can read.
 RETRY_SECONDS = 0.6
-RETRY_SECONDS_MOST = 2.5
+MAX_RETRY_SECONDS = 2.5
 STAND_DOWN_SECONDS = 4.0
 
 #: A reading that is older than this means that the store was away.
-AWAY_SECONDS = 3.0
+OUTAGE_SECONDS = 3.0
 
 
 #: The prefix of all keys.  A store that holds no more than this many bytes is
 #: read with one call in place of two, since calls are what is paid for.
-EVERYTHING = ""
-ALL_AT_ONCE_BYTES = 48 * 1024
+ALL_KEYS_PREFIX = ""
+MAX_SINGLE_READ_BYTES = 48 * 1024
 
 #: Foreign entries that are told in the log, one line each, and how much of the
 #: reason, in characters.
-FOREIGN_TOLD_MOST = 200
-REASON_MOST = 200
+MAX_LOGGED_FOREIGN = 200
+MAX_REASON_CHARS = 200
 
 
 class StoreReader:
@@ -76,15 +76,15 @@
         self._client = client
         self._read_at = None
         self._operator_revision = None
-        self._all_at_once = True
+        self._single_read = True
         self._failures = 0
         self._resume_at = 0.0
-        self._behind_until = 0.0
-        self._returning_until = 0.0
-        self._foreign = set()
+        self._standing_down_until = 0.0
+        self._keep_missing_until = 0.0
+        self._logged_foreign = set()
         self._store_revision = 0
         self._restores = restores or Restores()
-        self._configuration_seen = None
+        self._configuration_digest = None
         self._task = None
 
     @property
@@ -100,39 +100,41 @@
         self._events = kernel.find("events")
         self._metrics = kernel.find("metrics")
         self._topology = Topology(self._here, kernel.find("members"))
-        self._sync.on_read(self._take_told)
-        self._metrics.gauge("store_read_age_seconds", "age of the newest reading", self._age)
-        self._task = asyncio.create_task(self._read_for_ever())
+        self._sync.on_read(self._on_peer_read)
+        self._metrics.gauge(
+            "store_read_age_seconds", "age of the newest reading", self._read_age_seconds
+        )
+        self._task = asyncio.create_task(self._read_loop())
 
     async def stop(self):
         """Stop reading."""
         self._task.cancel()
         self._client.close()
 
-    def _age(self):
+    def _read_age_seconds(self):
         return now() - self._read_at if self._read_at is not None else -1.0
 
-    def _take_told(self, read_at):
+    def _on_peer_read(self, read_at):
         if self._read_at is None or read_at > self._read_at:
-            self._note_gap(read_at)
+            self._detect_outage(read_at)
             self._read_at = read_at
 
-    def _note_gap(self, read_at):
-        if self._read_at is not None and read_at - self._read_at > AWAY_SECONDS:
-            self._returning_until = deadline_after(RETURN_SECONDS)
+    def _detect_outage(self, read_at):
+        if self._read_at is not None and read_at - self._read_at > OUTAGE_SECONDS:
+            self._keep_missing_until = deadline_after(RETURN_SECONDS)
 
-    def _due(self):
-        if self._read_at is None or self._starting:
+    def _next_read_at(self):
+        if self._read_at is None or self._unlisted:
             return self._resume_at
-        steps = min(self._topology.rank, STEPS_MOST)
-        if now() < self._behind_until:
-            steps = STEPS_MOST + 1
-        wait = READ_AFTER_SECONDS + steps * STEP_SECONDS
+        steps = min(self._topology.rank, MAX_RANK_STEPS)
+        if now() < self._standing_down_until:
+            steps = MAX_RANK_STEPS + 1
+        wait = READ_AFTER_SECONDS + steps * RANK_STEP_SECONDS
         return max(self._resume_at, self._read_at + wait)
 
-    async def _read_for_ever(self):
+    async def _read_loop(self):
         while True:
-            wait = self._due() - now()
+            wait = self._next_read_at() - now()
             if wait > 0:
                 await asyncio.sleep(wait)
                 continue
@@ -140,11 +142,11 @@
 
     async def _try_to_read(self):
         began = now()
-        stale = self._starting
+        stale = self._unlisted
         try:
             await self._read(began, stale)
         except PlatformError as error:
-            self._failed(error)
+            self._on_read_failure(error)
             return
         if self._failures:
             self._events.state("store", "unreadable", "readable", self._client.address)
@@ -157,7 +159,7 @@
         self._sync.tell_read(began)
 
     @property
-    def _starting(self):
+    def _unlisted(self):
         """Whether this host is not in the list yet, so that no reader can know of it.
 
         Notes
@@ -169,17 +171,17 @@
         """
         return self._read_at is not None and not self._fleet.registered
 
-    def _failed(self, error):
+    def _on_read_failure(self, error):
         if not self._failures:
             self._events.state("store", "readable", str(error), self._client.address)
         self._failures += 1
-        wait = min(RETRY_SECONDS_MOST, RETRY_SECONDS * 2 ** min(self._failures - 1, 4))
+        wait = min(MAX_RETRY_SECONDS, RETRY_SECONDS * 2 ** min(self._failures - 1, 4))
         self._resume_at = deadline_after(wait * random.uniform(0.7, 1.0))
-        self._behind_until = deadline_after(STAND_DOWN_SECONDS)
+        self._standing_down_until = deadline_after(STAND_DOWN_SECONDS)
 
     async def _read(self, began, stale):
-        if self._all_at_once:
-            reads = [await self._client.read(EVERYTHING, stale)]
+        if self._single_read:
+            reads = [await self._client.read(ALL_KEYS_PREFIX, stale)]
         else:
             reads = [
                 await self._client.read(OPERATOR_PREFIX, stale),
@@ -187,15 +189,15 @@
             ]
         if not stale:
             # Before what is missing is judged: it may be missing because of the gap.
-            self._note_gap(began)
-            self._note_position(reads[0])
-        self.take_operator(reads[0])
+            self._detect_outage(began)
+            self._track_revision(reads[0])
+        self.apply_operator_read(reads[0])
         self._operator_revision = reads[0].revision
-        self._take_servers(reads[-1])
+        self._apply_servers(reads[-1])
         size = sum(len(item.value or b"") for read in reads for item in read.items)
-        self._all_at_once = size <= ALL_AT_ONCE_BYTES
+        self._single_read = size <= MAX_SINGLE_READ_BYTES
 
-    def _note_position(self, read):
+    def _track_revision(self, read):
         """Tell the first position of the store, and when it goes back or names another era."""
         former, self._store_revision = self._store_revision, read.revision
         self._restores.note(read.revision)
@@ -206,25 +208,25 @@
         old = in_words(former) if former else "unknown"
         self._events.state("store position", old, in_words(read.revision), self._client.address)
 
-    def take_operator(self, read):
+    def apply_operator_read(self, read):
         """Take what operators have written, from a `StoreRead` that holds all of it."""
         for item in read.items:
-            self.take_change(item)
+            self.apply_change(item)
         if self._restores.missing_may_return:
             return
         marks = {item.key for item in read.items if item.key.startswith(EVACUATIONS_PREFIX)}
-        self._withdraw(EVACUATIONS_PREFIX, marks, read.revision)
+        self._delete_missing(EVACUATIONS_PREFIX, marks, read.revision)
 
-    def take_change(self, item):
+    def apply_change(self, item):
         """Take one item that operators have written or taken away; others are passed over."""
         if item.key.startswith(EVACUATIONS_PREFIX):
             # What the mark holds says nothing: its key names the zone.
             document = None if item.deleted else {}
             self._settings.take(item.key, item.revision, document, "store")
         elif item.key == CONFIGURATION_KEY and not item.deleted:
-            self._take_configuration(item)
+            self._apply_configuration(item)
 
-    def _take_configuration(self, item):
+    def _apply_configuration(self, item):
         """Take the configuration if its version is higher than the one in force.
 
         Notes
@@ -234,8 +236,8 @@
         raise the version with each configuration, whatever the store forgets.
         """
         value = item.value or b""
-        seen, self._configuration_seen = self._configuration_seen, xxh3_64_intdigest(value)
-        if seen == self._configuration_seen:
+        seen, self._configuration_digest = self._configuration_digest, xxh3_64_intdigest(value)
+        if seen == self._configuration_digest:
             return
         try:
             document, version = decode_configuration(item.key, value)
@@ -249,14 +251,14 @@
             )
         self._settings.take(item.key, version, document, "store")
 
-    def _withdraw(self, prefix, present, revision):
+    def _delete_missing(self, prefix, present, revision):
         """Take all that is held under `prefix` and was not `present` at `revision` for deleted."""
         for held in self._settings.held():
             missing = held.path.startswith(prefix) and held.path not in present
             if missing and not held.deleted:
                 self._settings.take(held.path, revision, None, "store")
 
-    def _take_servers(self, read):
+    def _apply_servers(self, read):
         items = {i.key: i for i in read.items if i.key.startswith(SERVERS_PREFIX)}
         entries = {}
         foreign = {}
@@ -268,14 +270,14 @@
         for key in without_births(entries):
             foreign[key] = "born: missing"
             del entries[key]
-        self._withdraw_foreign(foreign, items)
+        self._delete_foreign(foreign, items)
         for key, entry in entries.items():
-            self._take_server(items[key], entry)
-        if now() < self._returning_until or self._restores.missing_may_return:
+            self._apply_server(items[key], entry)
+        if now() < self._keep_missing_until or self._restores.missing_may_return:
             return
-        self._withdraw(SERVERS_PREFIX, items, read.revision)
+        self._delete_missing(SERVERS_PREFIX, items, read.revision)
 
-    def _withdraw_foreign(self, foreign, items):
+    def _delete_foreign(self, foreign, items):
         """Name no backend server by entries that no backend server writes.
 
         Notes
@@ -288,13 +290,13 @@
             held = self._settings.get(key)
             if held is not None and not held.deleted:
                 self._settings.take(key, items[key].revision, None, "store")
-            if key not in self._foreign and len(self._foreign) < FOREIGN_TOLD_MOST:
-                self._foreign.add(key)
+            if key not in self._logged_foreign and len(self._logged_foreign) < MAX_LOGGED_FOREIGN:
+                self._logged_foreign.add(key)
                 self._metrics.count("foreign_entries")
-                self._events.belief("foreign entry", key=key, reason=reason[:REASON_MOST])
-        self._foreign &= foreign.keys()
+                self._events.belief("foreign entry", key=key, reason=reason[:MAX_REASON_CHARS])
+        self._logged_foreign &= foreign.keys()
 
-    def _take_server(self, item, entry):
+    def _apply_server(self, item, entry):
         held = self._settings.get(item.key)
         if held is None:
             self._settings.take(item.key, item.revision, entry, "store")
--- a/caperstack/platform/tests/readercase.py
+++ b/caperstack/platform/tests/readercase.py
@@ -46,7 +46,7 @@
         """Take a reading of `values`, bytes by key, each written since the last one."""
         self.revision += 10
         items = [StoreItem(key, value, self.revision, 1) for key, value in values.items()]
-        self.reader._take_servers(StoreRead(items, self.revision))
+        self.reader._apply_servers(StoreRead(items, self.revision))
 
     def entry(self, key):
         """Return the `ServerEntry` held under that key, or ``None``."""
--- a/caperstack/platform/tests/test_entries.py
+++ b/caperstack/platform/tests/test_entries.py
@@ -283,7 +283,7 @@
     def read_marks(self, values, advance=10):
         self.revision += advance
         items = [StoreItem(key, value, self.revision, 1) for key, value in values.items()]
-        self.reader.take_operator(StoreRead(items, self.revision))
+        self.reader.apply_operator_read(StoreRead(items, self.revision))
 
     def test_mark_evacuates_a_zone_until_it_is_gone(self):
         self.read_marks({"op/evacuate/a": b"{}"})
--- a/caperstack/platform/tests/test_restore.py
+++ b/caperstack/platform/tests/test_restore.py
@@ -73,7 +73,7 @@
 
     def assert_in_force(self, version, *offered):
         for item in offered:
-            self.reader.take_change(item)
+            self.reader.apply_change(item)
         self.assertEqual(self.settings.get(CONFIGURATION_KEY).parsed.version, version)
 
     def test_higher_version_at_a_lower_or_equal_revision(self):
@@ -105,9 +105,9 @@
 
     def read_at(self, era, revision, *items):
         read = StoreRead(list(items), revision_in(era, revision))
-        self.reader._note_position(read)
-        self.reader.take_operator(read)
-        self.reader._take_servers(read)
+        self.reader._track_revision(read)
+        self.reader.apply_operator_read(read)
+        self.reader._apply_servers(read)
 
     def entry_at(self, era, revision, state="ready", created=4, **changes):
         document = registered(1, **changes)
--- a/caperstack/platform/watch.py
+++ b/caperstack/platform/watch.py
@@ -21,7 +21,7 @@
 #: After a failed call a node waits so long before the next one, in seconds; after
 #: the first failure of several it does not wait.
 RETRY_SECONDS = 0.5
-RETRY_SECONDS_MOST = 8.0
+MAX_RETRY_SECONDS = 8.0
 
 #: How often a node that does not watch looks whether it should, in seconds.
 IDLE_SECONDS = 1.0
@@ -98,7 +98,7 @@
         self._failures = 0
         self._read_anew = False
         for change in changes.items:
-            self._reader.take_change(change)
+            self._reader.apply_change(change)
         self._revision = max(self._revision, changes.revision)
 
     async def _first_revision(self):
@@ -107,7 +107,7 @@
         if known is not None and not self._history_lost:
             return known
         read = await self._client.read(OPERATOR_PREFIX)
-        self._reader.take_operator(read)
+        self._reader.apply_operator_read(read)
         self._history_lost = False
         return read.revision
 
@@ -118,5 +118,5 @@
         self._failures += 1
         if at_once:
             return
-        wait = min(RETRY_SECONDS_MOST, RETRY_SECONDS * 2 ** min(self._failures - 2, 4))
+        wait = min(MAX_RETRY_SECONDS, RETRY_SECONDS * 2 ** min(self._failures - 2, 4))
         await asyncio.sleep(wait * random.uniform(0.7, 1.0))
