--- a/caperstack/platform/watch.py
+++ b/caperstack/platform/watch.py
@@ -16,7 +16,7 @@
 
 #: An answer without changes that comes sooner than the end of the wait by more than
 #: this is a failure, in seconds: the next call would follow at once, without end.
-EARLY_SECONDS = 1.0
+MIN_EARLY_SECONDS = 1.0
 
 #: After a failed call a node waits so long before the next one, in seconds; after
 #: the first failure of several it does not wait.
@@ -53,7 +53,7 @@
         self._reader = reader
         self._revision = None
         self._history_lost = False
-        self._read_anew = False
+        self._retried_at_once = False
         self._failures = 0
         self._task = None
 
@@ -63,13 +63,13 @@
         self._fleet = kernel.find("fleet")
         self._metrics = kernel.find("metrics")
         self._topology = Topology(self._here, kernel.find("members"))
-        self._task = asyncio.create_task(self._watch_for_ever())
+        self._task = asyncio.create_task(self._watch_loop())
 
     async def stop(self):
         """Stop watching."""
         self._task.cancel()
 
-    async def _watch_for_ever(self):
+    async def _watch_loop(self):
         while True:
             if not (self._topology.reads and self._fleet.registered):
                 self._revision = None
@@ -81,22 +81,22 @@
                 self._revision = None
                 self._history_lost = True
                 # The store answers, so it is read at once; but only once in vain.
-                at_once, self._read_anew = not self._read_anew, True
-                await self._rest_after(error, at_once)
+                at_once, self._retried_at_once = not self._retried_at_once, True
+                await self._back_off(error, at_once)
             except PlatformError as error:
-                await self._rest_after(error)
+                await self._back_off(error)
 
     async def _watch_once(self):
         if self._revision is None:
             self._revision = await self._first_revision()
         wait_until = deadline_after(WAIT_SECONDS)
         changes = await self._client.watch(OPERATOR_PREFIX, self._revision, wait_until)
-        if not changes.items and time_left(wait_until) > EARLY_SECONDS:
+        if not changes.items and time_left(wait_until) > MIN_EARLY_SECONDS:
             raise PlatformError("answered too soon", step="watch", peer=self._client.address)
         if self._failures:
             self._events.state("watch", "cut", "open", self._client.address)
         self._failures = 0
-        self._read_anew = False
+        self._retried_at_once = False
         for change in changes.items:
             self._reader.apply_change(change)
         self._revision = max(self._revision, changes.revision)
@@ -111,7 +111,7 @@
         self._history_lost = False
         return read.revision
 
-    async def _rest_after(self, error, at_once=False):
+    async def _back_off(self, error, at_once=False):
         if not self._failures:
             self._events.state("watch", "open", str(error), self._client.address)
             at_once = True
