--- a/caperstack/platform/entries.py
+++ b/caperstack/platform/entries.py
@@ -16,19 +16,19 @@
 __all__ = ["Births", "ServerEntry", "decode_entry", "parse_entry", "without_births"]
 
 #: What an instance may be called: it goes into a header as it is.
-INSTANCE = re.compile(r"[A-Za-z0-9._~-]{1,100}")
+INSTANCE_PATTERN = re.compile(r"[A-Za-z0-9._~-]{1,100}")
 
 #: Slots beyond this are no backend server's; sites have 3 to 300.
-SLOTS_MOST = 100_000
+MAX_SLOTS = 100_000
 
 #: Births beyond this, in milliseconds since 1970, are no point in time: the year 2286.
-BIRTH_MOST_MS = 10**13
+MAX_BORN_MS = 10**13
 
 #: Instances whose birth is remembered; of 1,100 servers replaced each day the last three days.
-BIRTHS_MOST = 4096
+MAX_START_TIMES = 4096
 
-_Slots = Annotated[int, msgspec.Meta(ge=1, le=SLOTS_MOST)]
-_Birth = Annotated[int, msgspec.Meta(ge=1, le=BIRTH_MOST_MS)]
+_Slots = Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
+_BornMs = Annotated[int, msgspec.Meta(ge=1, le=MAX_BORN_MS)]
 
 
 class _Info(msgspec.Struct):
@@ -44,17 +44,17 @@
     cold_left: str = msgspec.field(name="coldLeft")
 
 
-class _Registered(msgspec.Struct):
+class _StoredEntry(msgspec.Struct):
     """An entry as the backend server writes it."""
 
     address: str
     info: _Info
     status: _Status
     # When the server started; platforms that do not tell it leave it out.
-    born: _Birth | msgspec.UnsetType = msgspec.UNSET
+    born: _BornMs | msgspec.UnsetType = msgspec.UNSET
 
 
-class _Told(msgspec.Struct):
+class _PeerEntry(msgspec.Struct):
     """What matters of an entry, as nodes tell each other: no heartbeat and no age."""
 
     service: str
@@ -63,7 +63,7 @@
     slots: _Slots
     state: Literal["ready", "draining"]
     created: int
-    born_ms: Annotated[int, msgspec.Meta(ge=0, le=BIRTH_MOST_MS)] = 0
+    born_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_BORN_MS)] = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,7 +108,7 @@
         return self.born_ms, self.created
 
 
-class Births:
+class StartTimes:
     """The latest birth seen of each instance, so that an older one never wins.
 
     Notes
@@ -135,7 +135,7 @@
             raise ConfigurationError(f"older than the start at {latest}", step="born")
         self._latest[entry.instance] = entry.born_ms
         self._latest.move_to_end(entry.instance)
-        while len(self._latest) > BIRTHS_MOST:
+        while len(self._latest) > MAX_START_TIMES:
             self._latest.popitem(last=False)
 
     def knows(self, instance, born_ms):
@@ -163,12 +163,12 @@
     if value is None:
         raise ConfigurationError("not base64", step=key)
     try:
-        server = msgspec.json.decode(value, type=_Registered)
+        server = msgspec.json.decode(value, type=_StoredEntry)
         if not math.isfinite(seconds_of(server.status.cold_left, "coldLeft")):
             raise ValueError("coldLeft: not finite")
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise ConfigurationError(str(error), step=key) from None
-    told = _Told(
+    told = _PeerEntry(
         service=server.info.service,
         address=server.address,
         zone=server.info.zone,
@@ -191,9 +191,9 @@
         Naming the key and the reason.
     """
     try:
-        told = msgspec.convert(document, _Told)
+        told = msgspec.convert(document, _PeerEntry)
         instance = key.removeprefix(SERVERS_PREFIX)
-        if not INSTANCE.fullmatch(instance):
+        if not INSTANCE_PATTERN.fullmatch(instance):
             raise ValueError("key: names no instance")
         if not told.service:
             raise ValueError("service: empty")
@@ -215,7 +215,7 @@
     )
 
 
-def without_births(documents):
+def keys_without_start_time(documents):
     """Return the keys of `documents` that lack a birth though most tell theirs.
 
     A platform whose servers tell their births is told from one that does not
--- a/caperstack/platform/items.py
+++ b/caperstack/platform/items.py
@@ -7,7 +7,7 @@
 
 from caperstack.exception import ConfigurationError
 from caperstack.platform.durations import seconds_of
-from caperstack.platform.entries import Births, parse_entry
+from caperstack.platform.entries import StartTimes, parse_entry
 from caperstack.platform.names import CONFIGURATION_KEY, EVACUATIONS_PREFIX, SERVERS_PREFIX
 from caperstack.routing.table import EffectiveService, Route, RoutingTable, WeightedService
 from caperstack.settings.restores import Restores
@@ -122,7 +122,7 @@
     """
 
     def __init__(self, restores=None):
-        self._births = Births()
+        self._start_times = StartTimes()
         self._restores = restores or Restores()
 
     @property
@@ -146,7 +146,7 @@
         if key.startswith(EVACUATIONS_PREFIX):
             return _evacuated_zone(key)
         entry = parse_entry(key, document)
-        self._births.check(entry)
+        self._start_times.check(entry)
         return entry
 
     def is_overtaken(self, held, revision, document):
@@ -172,7 +172,7 @@
         """Return whether a server that is gone or leaving would be ready again by `document`."""
         entry = parse_entry(held.path, document)
         if held.deleted:
-            return self._births.knows(entry.instance, entry.born_ms)
+            return self._start_times.knows(entry.instance, entry.born_ms)
         same_start = held.parsed.born_ms == entry.born_ms
         return same_start and held.parsed.leaving and not entry.leaving
 
--- a/caperstack/platform/reader.py
+++ b/caperstack/platform/reader.py
@@ -7,7 +7,7 @@
 
 from caperstack.clock import deadline_after, now
 from caperstack.exception import ConfigurationError, PlatformError
-from caperstack.platform.entries import decode_entry, without_births
+from caperstack.platform.entries import decode_entry, keys_without_start_time
 from caperstack.platform.items import decode_configuration
 from caperstack.platform.names import (
     CONFIGURATION_KEY,
@@ -267,7 +267,7 @@
                 entries[key] = decode_entry(key, item.value, item.created)
             except ConfigurationError as error:
                 foreign[key] = error.message
-        for key in without_births(entries):
+        for key in keys_without_start_time(entries):
             foreign[key] = "born: missing"
             del entries[key]
         self._delete_foreign(foreign, items)
