--- a/caperstack/platform/boot.py
+++ b/caperstack/platform/boot.py
@@ -8,7 +8,7 @@
 from caperstack.addresses import split_address
 from caperstack.config.here import Backend, Here, Limits
 from caperstack.exception import ConfigurationError
-from caperstack.platform.durations import seconds_of
+from caperstack.platform.durations import parse_duration
 from caperstack.platform.names import BOOT_VARIABLE
 from caperstack.routing.budgets import FleetAllowance
 
@@ -180,7 +180,7 @@
         ),
         drain_until_seconds=_duration(boot.bounds, "grace") - KILL_MARGIN_SECONDS,
         cold_bound=_cold_bound(boot.bounds),
-        heartbeat_seconds=seconds_of(boot.heartbeat, "heartbeat"),
+        heartbeat_seconds=parse_duration(boot.heartbeat, "heartbeat"),
     )
 
 
@@ -218,4 +218,4 @@
 
 
 def _duration(bounds, name):
-    return seconds_of(bounds.get(name), f"bounds.{name}")
+    return parse_duration(bounds.get(name), f"bounds.{name}")
--- a/caperstack/platform/durations.py
+++ b/caperstack/platform/durations.py
@@ -7,7 +7,7 @@
 _UNITS = (("ms", 0.001), ("s", 1.0))
 
 
-def seconds_of(text, field=""):
+def parse_duration(text, field=""):
     """Return the seconds in a text such as ``1500ms`` or ``2.5s``.
 
     Raises
--- a/caperstack/platform/entries.py
+++ b/caperstack/platform/entries.py
@@ -10,7 +10,7 @@
 
 from caperstack.addresses import split_address
 from caperstack.exception import ConfigurationError
-from caperstack.platform.durations import seconds_of
+from caperstack.platform.durations import parse_duration
 from caperstack.platform.names import SERVERS_PREFIX
 
 __all__ = ["Births", "ServerEntry", "decode_entry", "parse_entry", "without_births"]
@@ -164,7 +164,7 @@
         raise ConfigurationError("not base64", step=key)
     try:
         server = msgspec.json.decode(value, type=_StoredEntry)
-        if not math.isfinite(seconds_of(server.status.cold_left, "coldLeft")):
+        if not math.isfinite(parse_duration(server.status.cold_left, "coldLeft")):
             raise ValueError("coldLeft: not finite")
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise ConfigurationError(str(error), step=key) from None
--- a/caperstack/platform/items.py
+++ b/caperstack/platform/items.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from caperstack.exception import ConfigurationError
-from caperstack.platform.durations import seconds_of
+from caperstack.platform.durations import parse_duration
 from caperstack.platform.entries import StartTimes, parse_entry
 from caperstack.platform.names import CONFIGURATION_KEY, EVACUATIONS_PREFIX, SERVERS_PREFIX
 from caperstack.routing.table import EffectiveService, Route, RoutingTable, WeightedService
@@ -15,7 +15,7 @@
 
 __all__ = ["Configuration", "StoreCodec", "decode_configuration"]
 
-IDEMPOTENT = {"idempotent": True, "non_idempotent": False}
+IDEMPOTENT_BY_KIND = {"idempotent": True, "non_idempotent": False}
 
 #: Health checks a second of a server whose answers to calls do not tell its pace.
 MEASURING_PER_SECOND = 12.0
@@ -24,7 +24,7 @@
 _Rate = Annotated[float, msgspec.Meta(ge=0)]
 
 
-class _Part(msgspec.Struct):
+class _SplitPart(msgspec.Struct):
     service: str
     weight: float
 
@@ -41,7 +41,7 @@
     priority: int
     attempts: int = msgspec.field(name="maxAttempts")
     service: str | None = None
-    split: list[_Part] | None = msgspec.field(name="trafficSplit", default=None)
+    split: list[_SplitPart] | None = msgspec.field(name="trafficSplit", default=None)
 
 
 class _ServiceRow(msgspec.Struct):
@@ -140,7 +140,7 @@
         """
         try:
             if key == CONFIGURATION_KEY:
-                return _configuration(msgspec.convert(document, _Configuration))
+                return _convert_configuration(msgspec.convert(document, _Configuration))
         except (msgspec.MsgspecError, ValueError) as error:
             raise ConfigurationError(str(error), step=key) from None
         if key.startswith(EVACUATIONS_PREFIX):
@@ -166,9 +166,9 @@
             return False
         if era_of(held.revision) == era_of(revision) or not self._restores.may_be_overtaken:
             return False
-        return self._takes_leaving_back(held, document)
+        return self._reverts_departure(held, document)
 
-    def _takes_leaving_back(self, held, document):
+    def _reverts_departure(self, held, document):
         """Return whether a server that is gone or leaving would be ready again by `document`."""
         entry = parse_entry(held.path, document)
         if held.deleted:
@@ -226,23 +226,23 @@
     return EvacuatedZone(zone)
 
 
-def _configuration(wire):
-    services = {row.name: _limits(row) for row in _rows(wire.services, _ServiceRow)}
+def _convert_configuration(wire):
+    services = {row.name: _convert_limits(row) for row in _decode_rows(wire.services, _ServiceRow)}
     return Configuration(
         version=wire.version,
-        routes=tuple(_route(row) for row in _rows(wire.routes, _RouteRow)),
+        routes=tuple(_convert_route(row) for row in _decode_rows(wire.routes, _RouteRow)),
         services=services,
         body_bytes=wire.limits.body_bytes,
-        idle_seconds=seconds_of(wire.limits.idle, "limits.idleTimeout"),
+        idle_seconds=parse_duration(wire.limits.idle, "limits.idleTimeout"),
     )
 
 
-def _limits(row):
-    cold_seconds = seconds_of(row.cold, f"services.{row.name}.cold")
+def _convert_limits(row):
+    cold_seconds = parse_duration(row.cold, f"services.{row.name}.cold")
     return ServiceLimits(row.health_path, row.connections, row.cold_per_second, cold_seconds)
 
 
-def _rows(table, row_type):
+def _decode_rows(table, row_type):
     for values in table.rows:
         named = {
             name: value
@@ -252,9 +252,9 @@
         yield msgspec.convert(named, row_type)
 
 
-def _route(row):
+def _convert_route(row):
     place = f"routes.{row.name}"
-    if row.kind not in IDEMPOTENT:
+    if row.kind not in IDEMPOTENT_BY_KIND:
         raise ConfigurationError(f"unknown: {row.kind!r}", step=place, peer="kind")
     if row.split:
         parts = tuple(WeightedService(part.service, part.weight) for part in row.split)
@@ -267,9 +267,9 @@
         parts=parts,
         name=row.name,
         host=row.host,
-        idempotent=IDEMPOTENT[row.kind],
+        idempotent=IDEMPOTENT_BY_KIND[row.kind],
         criticality=-row.priority,
-        deadline_seconds=seconds_of(row.timeout, f"{place}.timeout"),
-        objective_seconds=seconds_of(row.objective, f"{place}.targetLatency"),
+        deadline_seconds=parse_duration(row.timeout, f"{place}.timeout"),
+        objective_seconds=parse_duration(row.objective, f"{place}.targetLatency"),
         attempts=row.attempts,
     )
--- a/caperstack/platform/names.py
+++ b/caperstack/platform/names.py
@@ -31,11 +31,11 @@
 READY_PATH = "/v1/ready"
 
 #: The header of the store's answers that counts how often it came back from an older copy.
-STORE_ERA = "Store-Era"
+STORE_ERA_HEADER = "Store-Era"
 
 #: The header by which the platform recognises a backend server's own answer.
 #: The node passes it on like any other; only stand-ins set it.
-SEAL = "X-Server-Seal"
+SERVER_SEAL_HEADER = "X-Server-Seal"
 
 DIALECT = Dialect(
     request_id="X-Request-Id",
--- a/caperstack/platform/standin/instance.py
+++ b/caperstack/platform/standin/instance.py
@@ -9,7 +9,7 @@
 from tornado.httputil import HTTPHeaders, ResponseStartLine
 
 from caperstack.clock import now, time_left
-from caperstack.platform.names import DIALECT, SEAL
+from caperstack.platform.names import DIALECT, SERVER_SEAL_HEADER
 
 __all__ = ["Conduct", "Run", "StandinInstance"]
 
@@ -214,7 +214,9 @@
         elif conduct.unframed:
             self._write_unframed(request)
         else:
-            self._write(request, conduct.status, conduct.body, {SEAL: str(len(conduct.body))})
+            self._write(
+                request, conduct.status, conduct.body, {SERVER_SEAL_HEADER: str(len(conduct.body))}
+            )
 
     def _headers(self, request, more):
         headers = HTTPHeaders(more)
@@ -232,12 +234,14 @@
         stream = request.connection.stream
         request.connection.write_headers(ResponseStartLine("", status, "Said"), headers, body)
         request.connection.finish()
-        if self.conduct.extra_answers and SEAL in headers:
+        if self.conduct.extra_answers and SERVER_SEAL_HEADER in headers:
             head = f"HTTP/1.1 200 OK\r\n{DIALECT.request_id}: {headers[DIALECT.request_id]}\r\n"
-            stream.write(f"{head}{SEAL}: 5\r\nContent-Length: 5\r\n\r\nextra".encode())
+            stream.write(
+                f"{head}{SERVER_SEAL_HEADER}: 5\r\nContent-Length: 5\r\n\r\nextra".encode()
+            )
 
     def _write_unframed(self, request):
-        headers = self._headers(request, {SEAL: str(len(self.conduct.body))})
+        headers = self._headers(request, {SERVER_SEAL_HEADER: str(len(self.conduct.body))})
         head = "".join(f"{name}: {value}\r\n" for name, value in headers.get_all())
         body = self.conduct.body
         whole = self.conduct.unframed == "whole"
--- a/caperstack/platform/standin/store.py
+++ b/caperstack/platform/standin/store.py
@@ -10,7 +10,7 @@
 from tornado.httputil import HTTPHeaders, ResponseStartLine
 
 from caperstack.clock import deadline_after, now
-from caperstack.platform.names import STORE_ERA
+from caperstack.platform.names import STORE_ERA_HEADER
 
 __all__ = ["StandinStore", "StoreCopy", "StoreTroubles"]
 
@@ -194,7 +194,7 @@
             request.connection.stream.close()
             return
         body = json.dumps(document).encode()
-        headers = HTTPHeaders({"Content-Length": str(len(body)), STORE_ERA: str(self.era)})
+        headers = HTTPHeaders({"Content-Length": str(len(body)), STORE_ERA_HEADER: str(self.era)})
         request.connection.write_headers(ResponseStartLine("", status, ""), headers, body)
         request.connection.finish()
 
--- a/caperstack/platform/store.py
+++ b/caperstack/platform/store.py
@@ -12,7 +12,7 @@
 
 from caperstack.clock import time_left
 from caperstack.exception import HistoryError, PlatformError
-from caperstack.platform.names import STORE_ERA
+from caperstack.platform.names import STORE_ERA_HEADER
 from caperstack.settings.revisions import ERAS, NUMBERS, era_of, number_of, revision_in
 
 __all__ = ["StoreChanges", "StoreClient", "StoreItem", "StoreRead"]
@@ -221,9 +221,11 @@
 
     def _era(self, response):
         """Return the era that an answer names; 0 where the store names none."""
-        text = response.headers.get(STORE_ERA, "0")
+        text = response.headers.get(STORE_ERA_HEADER, "0")
         if not (text.isascii() and text.isdigit() and int(text) < ERAS):
-            raise PlatformError(f"{STORE_ERA}: {text[:20]!r}", step="read", peer=self._address)
+            raise PlatformError(
+                f"{STORE_ERA_HEADER}: {text[:20]!r}", step="read", peer=self._address
+            )
         return int(text)
 
     async def _get(self, path, seconds=READ_SECONDS):
--- a/caperstack/platform/tests/test_decoding.py
+++ b/caperstack/platform/tests/test_decoding.py
@@ -14,7 +14,7 @@
 from caperstack.exception import ConfigurationError
 from caperstack.platform.__main__ import main
 from caperstack.platform.boot import parse_boot
-from caperstack.platform.durations import seconds_of
+from caperstack.platform.durations import parse_duration
 from caperstack.platform.items import StoreCodec
 from caperstack.platform.names import BOOT_VARIABLE, CONFIGURATION_KEY
 from caperstack.platform.standin.fleet import PlatformFleet, route_row
@@ -44,15 +44,15 @@
 
 
 class TestDurations(unittest.TestCase):
-    """`seconds_of`."""
+    """`parse_duration`."""
 
     def test_both_units(self):
-        self.assertEqual((seconds_of("1500ms"), seconds_of("2.5s")), (1.5, 2.5))
+        self.assertEqual((parse_duration("1500ms"), parse_duration("2.5s")), (1.5, 2.5))
 
     @given(st.one_of(st.none(), st.integers(), st.text(max_size=8)))
     def test_anything_else_names_the_field(self, value):
         try:
-            self.assertGreaterEqual(seconds_of(value, "here"), 0.0)
+            self.assertGreaterEqual(parse_duration(value, "here"), 0.0)
         except ConfigurationError as error:
             self.assertIn("here", str(error))
 
--- a/caperstack/platform/tests/test_path.py
+++ b/caperstack/platform/tests/test_path.py
@@ -6,7 +6,7 @@
 from caperstack.addresses import split_address
 from caperstack.calls.headers import OUTCOME
 from caperstack.clock import now
-from caperstack.platform.names import DIALECT, SEAL
+from caperstack.platform.names import DIALECT, SERVER_SEAL_HEADER
 from caperstack.platform.standin.fleet import route_row
 from caperstack.platform.tests.fleetcase import FleetCase
 
@@ -22,7 +22,7 @@
             for method, path in (("GET", "/list/a?b=c"), ("POST", "/book/x"), ("GET", "/rates/")):
                 name, reply = await self.fleet.ask(host, path, method, body=b"" * 3)
                 self.assertEqual((reply.code, reply.body), (200, b"whole answer"))
-                self.assertIn(SEAL, reply.headers)
+                self.assertIn(SERVER_SEAL_HEADER, reply.headers)
                 self.assertEqual(reply.headers[DIALECT.request_id], name)
                 self.assertEqual(self.fleet.runs(name), 1)
 
