--- a/caperstack/platform/store.py
+++ b/caperstack/platform/store.py
@@ -18,19 +18,19 @@
 __all__ = ["StoreChanges", "StoreClient", "StoreItem", "StoreRead"]
 
 #: An answer takes 4 ms as a rule and 60 times that on bad days.
-READ_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 
 #: The store gives at most 1 MB a page, in base64 and JSON somewhat more.
-MAX_ANSWER = 4 * 1024 * 1024
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 
 #: How much later than the end of its wait a watch is answered at most, in seconds.
-LATE_SECONDS = 1.0
+WATCH_GRACE_SECONDS = 1.0
 
 #: The status of a watch whose history is not kept any more.
 HISTORY_GONE = 410
 
 #: Pages of one read; beyond that something is wrong.
-PAGES_MOST = 200
+MAX_PAGES = 200
 
 
 _Revision = Annotated[int, msgspec.Meta(ge=0, lt=NUMBERS)]
@@ -132,7 +132,7 @@
     def __init__(self, address, metrics):
         self._address = address
         self._metrics = metrics
-        self._client = SimpleAsyncHTTPClient(force_instance=True, max_body_size=MAX_ANSWER)
+        self._client = SimpleAsyncHTTPClient(force_instance=True, max_body_size=MAX_RESPONSE_BYTES)
 
     @property
     def address(self):
@@ -161,7 +161,7 @@
         items = []
         revision = None
         after = None
-        for _ in range(PAGES_MOST):
+        for _ in range(MAX_PAGES):
             page, era = await self._page(prefix, after, stale)
             if revision is None:
                 revision = revision_in(era, page.revision)
@@ -195,7 +195,7 @@
         """
         wait = max(0.0, time_left(wait_until))
         query = urlencode({"prefix": prefix, "after": number_of(after), "waitMs": int(wait * 1000)})
-        response = await self._get(f"/v1/kv-watch?{query}", wait + LATE_SECONDS)
+        response = await self._get(f"/v1/kv-watch?{query}", wait + WATCH_GRACE_SECONDS)
         try:
             page = msgspec.json.decode(response.body, type=_Events)
         except msgspec.MsgspecError as error:
@@ -228,18 +228,18 @@
             )
         return int(text)
 
-    async def _get(self, path, seconds=READ_SECONDS):
+    async def _get(self, path, seconds=CALL_TIMEOUT_SECONDS):
         self._metrics.count("store_calls")
         try:
             request = self._client.fetch(
                 f"http://{self._address}{path}",
-                connect_timeout=READ_SECONDS,
+                connect_timeout=CALL_TIMEOUT_SECONDS,
                 request_timeout=seconds,
                 decompress_response=False,
             )
             # A call that nobody waits for any more ends by itself; cancelled, it would
             # write its failure to standard error.
-            request.add_done_callback(_note_failure)
+            request.add_done_callback(_retrieve_exception)
             response = await asyncio.shield(request)
         except HTTPClientError as error:
             reason = f"status {error.code}"
@@ -251,7 +251,7 @@
         return response
 
 
-def _note_failure(request):
+def _retrieve_exception(request):
     if not request.cancelled():
         request.exception()
 
