--- a/caperstack/platform/fleet.py
+++ b/caperstack/platform/fleet.py
@@ -34,10 +34,10 @@
         self._port = here.peer_address.rpartition(":")[2]
         self._registered = False
         self._entries = {}
-        self._at_host = {}
-        self._due = {}
+        self._entries_by_host = {}
+        self._changed_hosts = {}
         self._services = None
-        self._unnamed = set()
+        self._unconfigured = set()
 
     async def start(self, kernel):
         """Follow the settings."""
@@ -73,18 +73,18 @@
         return limits.health_path if limits else "/health"
 
     def _on_change(self, held):
-        if not self._due:
+        if not self._changed_hosts:
             # A node that starts takes in all entries in one turn of the loop;
             # two entries of a host are judged together.
-            asyncio.get_running_loop().call_soon(self._apply)
+            asyncio.get_running_loop().call_soon(self._apply_changes)
         # A dict serves as an ordered set: hosts are looked at in the order of the
         # changes.  The own host is always among them, so that an apply is due.
-        self._due[self._here.host] = True
+        self._changed_hosts[self._here.host] = True
         if held.path == CONFIGURATION_KEY:
             self._apply_limits(held.parsed)
-            self._name_services(held.parsed)
+            self._update_services(held.parsed)
         elif isinstance(held.parsed, ServerEntry | None):
-            self._note(held.path, held.parsed)
+            self._index_entry(held.path, held.parsed)
 
     def _apply_limits(self, configuration):
         limits = self._here.limits
@@ -100,31 +100,31 @@
             most = self._cold_bound.per_second(limits.cold_per_second)
             self._owner.set_cold_limit(most, limits.cold_seconds)
 
-    def _name_services(self, configuration):
+    def _update_services(self, configuration):
         # A service may be named only by a later configuration than its servers.
         services = frozenset(configuration.services)
         if services != self._services:
             self._services = services
-            self._due.update(dict.fromkeys(self._at_host))
+            self._changed_hosts.update(dict.fromkeys(self._entries_by_host))
 
-    def _note(self, path, entry):
+    def _index_entry(self, path, entry):
         """The entry at that path is `entry` now, or gone if ``None``."""
         former = self._entries.pop(path, None)
         if former is not None:
-            self._due[former.host] = True
-            neighbours = self._at_host[former.host]
+            self._changed_hosts[former.host] = True
+            neighbours = self._entries_by_host[former.host]
             del neighbours[path]
             if not neighbours:
-                del self._at_host[former.host]
+                del self._entries_by_host[former.host]
         if entry is None:
-            self._unnamed.discard(path)
+            self._unconfigured.discard(path)
             return
-        self._due[entry.host] = True
+        self._changed_hosts[entry.host] = True
         self._entries[path] = entry
-        self._at_host.setdefault(entry.host, {})[path] = entry
+        self._entries_by_host.setdefault(entry.host, {})[path] = entry
 
-    def _apply(self):
-        due, self._due = self._due, {}
+    def _apply_changes(self):
+        due, self._changed_hosts = self._changed_hosts, {}
         for host in due:
             entry = self._newest(host)
             if entry is None:
@@ -132,22 +132,22 @@
             else:
                 self._members.put(self._host_entry(entry))
             if host == self._here.host:
-                self._apply_own(entry)
+                self._apply_own_entry(entry)
                 self._apply_cold_limit()
 
     def _newest(self, host):
         """Return the entry that holds `host`, or ``None``."""
-        entries = self._at_host.get(host, {}).items()
-        named = [entry for path, entry in entries if self._names(path, entry)]
+        entries = self._entries_by_host.get(host, {}).items()
+        named = [entry for path, entry in entries if self._is_configured(path, entry)]
         return max(named, key=lambda entry: entry.order, default=None)
 
-    def _names(self, path, entry):
+    def _is_configured(self, path, entry):
         """Return whether the configuration, if one is known, names the entry's service."""
         if self._services is None or entry.service in self._services:
-            self._unnamed.discard(path)
+            self._unconfigured.discard(path)
             return True
-        if path not in self._unnamed:
-            self._unnamed.add(path)
+        if path not in self._unconfigured:
+            self._unconfigured.add(path)
             self._events.belief(
                 "foreign entry", key=entry.instance, reason="service: not configured"
             )
@@ -164,7 +164,7 @@
             entry.incarnation,
         )
 
-    def _apply_own(self, entry):
+    def _apply_own_entry(self, entry):
         if entry is None:
             self._owner.set_listed(False)
             return
