--- a/caperstack/platform/__main__.py
+++ b/caperstack/platform/__main__.py
@@ -104,7 +104,9 @@
     reloading = asyncio.create_task(reloader.run())
     await stopping.wait()
     open_until = deadline_after(OPEN_SECONDS)
-    await drain(kernel, DrainPlan(open_until, open_until, deadline_after(boot.drain_until_seconds)))
+    await drain(
+        kernel, DrainPlan(open_until, open_until, deadline_after(boot.drain_timeout_seconds))
+    )
     reloading.cancel()
     await kernel.stop()
     log.state("stopped")
--- a/caperstack/platform/boot.py
+++ b/caperstack/platform/boot.py
@@ -15,8 +15,8 @@
 __all__ = ["Boot", "ColdBound", "boot_path", "parse_boot", "read_boot"]
 
 #: Slots and connections of a backend server until the store tells its own.
-FIRST_SLOTS = 8
-FIRST_CONNECTIONS = 64
+INITIAL_SLOTS = 8
+INITIAL_CONNECTIONS = 64
 
 #: Calls at once, as a share of the slots.  The platform's backend servers take
 #: longer when they are nearly full; up to four fifths of the slots they do not.
@@ -27,7 +27,7 @@
 KILL_MARGIN_SECONDS = 0.8
 
 #: Where the counters are shown: the peer port is the first of the range.
-METRICS_OFFSET = 1
+METRICS_PORT_OFFSET = 1
 
 
 class _Listen(msgspec.Struct):
@@ -93,7 +93,7 @@
         Where the platform asks whether the node is ready, and where its store is.
     allowance : caperstack.routing.budgets.FleetAllowance
         What all nodes may send beyond first tries.
-    drain_until_seconds : float
+    drain_timeout_seconds : float
         How long after SIGTERM the process may live.
     cold_bound : ColdBound
         What a cold backend server may get beyond what it tolerates.
@@ -106,7 +106,7 @@
     ready_address: str
     store_address: str
     allowance: FleetAllowance
-    drain_until_seconds: float
+    drain_timeout_seconds: float
     cold_bound: ColdBound
     heartbeat_seconds: float
 
@@ -165,7 +165,7 @@
             split_address(address)
     except (msgspec.MsgspecError, ValueError) as error:
         raise ConfigurationError(str(error), step="start settings") from None
-    if len(boot.ports) != 2 or boot.ports[1] - boot.ports[0] < METRICS_OFFSET:
+    if len(boot.ports) != 2 or boot.ports[1] - boot.ports[0] < METRICS_PORT_OFFSET:
         reason = "needs a first and a last port, two ports at least"
         raise ConfigurationError(reason, step="start settings", peer="portRange")
     return Boot(
@@ -178,7 +178,7 @@
             floor=_number(boot.bounds, "budgetMinRetries"),
             window_seconds=_duration(boot.bounds, "budgetWindow"),
         ),
-        drain_until_seconds=_duration(boot.bounds, "grace") - KILL_MARGIN_SECONDS,
+        drain_timeout_seconds=_duration(boot.bounds, "grace") - KILL_MARGIN_SECONDS,
         cold_bound=_cold_bound(boot.bounds),
         heartbeat_seconds=parse_duration(boot.heartbeat, "heartbeat"),
     )
@@ -200,9 +200,9 @@
         region=boot.region,
         caller_address=boot.listen.outbound,
         peer_address=f"{boot.ip}:{boot.ports[0]}",
-        operator_address=f"{boot.ip}:{boot.ports[0] + METRICS_OFFSET}",
+        operator_address=f"{boot.ip}:{boot.ports[0] + METRICS_PORT_OFFSET}",
         backend=Backend(
-            boot.backend_address, boot.service, FIRST_SLOTS, SLOTS_SHARE, FIRST_CONNECTIONS
+            boot.backend_address, boot.service, INITIAL_SLOTS, SLOTS_SHARE, INITIAL_CONNECTIONS
         ),
         limits=Limits(
             bodies_bytes=boot.limits.memory_mb * 1024 * 1024 // 4,
--- a/caperstack/platform/tests/test_decoding.py
+++ b/caperstack/platform/tests/test_decoding.py
@@ -65,7 +65,7 @@
         self.assertEqual(boot.here.host, BOOT["ip"])
         self.assertEqual(boot.here.backend.service, "slots")
         self.assertEqual((boot.allowance.share, boot.allowance.floor), (0.2, 64.0))
-        self.assertLess(boot.drain_until_seconds, 6.0)
+        self.assertLess(boot.drain_timeout_seconds, 6.0)
 
     def test_command_line_checks_settings_and_names_the_bad_field(self):
         for document, status, said in ((BOOT, 0, "good"), (BOOT | {"zone": 5}, 2, "zone")):
