--- a/caperstack/platform/tests/readercase.py
+++ b/caperstack/platform/tests/readercase.py
@@ -15,22 +15,22 @@
 #: The hosts whose entries are read; no process runs there.
 FLEET = PlatformFleet(["slots", "slots", "rates"], [])
 
-BORN = 1_790_000_000_000
+BORN_MS = 1_790_000_000_000
 
 
-def registered(number=0, **changes):
+def server_document(number=0, **changes):
     """Return what the server of that host writes; `changes` are of its top level."""
     host = FLEET.hosts[number]
-    return host.instance.entry(host.zone) | {"born": BORN + number} | changes
+    return host.instance.entry(host.zone) | {"born": BORN_MS + number} | changes
 
 
 class ReaderCase(unittest.TestCase):
     """A `StoreReader` that is handed readings, and the settings that it fills."""
 
     def setUp(self):
-        self.begin()
+        self.reset()
 
-    def begin(self):
+    def reset(self):
         self.events = mock.Mock()
         restores = Restores()
         self.settings = SettingsStore(StoreCodec(restores))
--- a/caperstack/platform/tests/test_entries.py
+++ b/caperstack/platform/tests/test_entries.py
@@ -12,7 +12,7 @@
 from caperstack.platform.entries import ServerEntry, decode_entry
 from caperstack.platform.items import StoreCodec
 from caperstack.platform.store import StoreItem, StoreRead
-from caperstack.platform.tests.readercase import BORN, FLEET, ReaderCase, registered
+from caperstack.platform.tests.readercase import BORN_MS, FLEET, ReaderCase, server_document
 
 
 def decoded(document, key="servers/i-1"):
@@ -20,34 +20,34 @@
     return StoreCodec().parse(key, decode_entry(key, json.dumps(document).encode(), 7))
 
 
-def good_values():
+def valid_entries():
     """Return three good entries as the store holds them, by key."""
-    return {f"servers/i-{n}": json.dumps(registered(n)).encode() for n in range(3)}
+    return {f"servers/i-{n}": json.dumps(server_document(n)).encode() for n in range(3)}
 
 
 class TestDecoding(unittest.TestCase):
     """`decode_entry` and `parse_entry`."""
 
     def test_entry_is_decoded_whole(self):
-        entry = decoded(registered())
+        entry = decoded(server_document())
         host = FLEET.hosts[0]
         self.assertEqual((entry.instance, entry.service), ("i-1", "slots"))
         self.assertEqual((entry.host, entry.zone, entry.slots), (host.ip, host.zone, 8))
-        self.assertEqual((entry.leaving, entry.born_ms, entry.created), (False, BORN, 7))
+        self.assertEqual((entry.leaving, entry.born_ms, entry.created), (False, BORN_MS, 7))
 
     def test_heartbeat_is_no_change(self):
-        first, second = registered(), registered()
+        first, second = server_document(), server_document()
         second["status"]["sequence"] = 99
         values = [decode_entry("servers/i", json.dumps(d).encode(), 1) for d in (first, second)]
         self.assertEqual(*values)
 
     def test_new_start_under_the_same_name_is_a_change(self):
-        values = [registered(born=born) for born in (BORN, BORN + 1)]
+        values = [server_document(born=born) for born in (BORN_MS, BORN_MS + 1)]
         documents = [decode_entry("servers/i", json.dumps(v).encode(), 1) for v in values]
         self.assertNotEqual(*documents)
 
     def test_servers_that_tell_no_birth_are_taken(self):
-        document = registered()
+        document = server_document()
         del document["born"]
         self.assertEqual(decoded(document).born_ms, 0)
 
@@ -58,7 +58,7 @@
 
     def test_missing_fields(self):
         for name in ("address", "info", "status"):
-            document = registered()
+            document = server_document()
             del document[name]
             self.assert_foreign(document, name)
         for place, names in (
@@ -66,7 +66,7 @@
             ("status", ("state", "sequence", "coldLeft")),
         ):
             for name in names:
-                document = registered()
+                document = server_document()
                 del document[place][name]
                 self.assert_foreign(document, name)
 
@@ -88,7 +88,7 @@
         }
         for name, values in cases.items():
             for value in values:
-                self.assert_foreign(registered(**{name: value}), "")
+                self.assert_foreign(server_document(**{name: value}), "")
 
     def test_slots_state_and_cold_time(self):
         cases = {
@@ -99,7 +99,7 @@
         }
         for (place, name), values in cases.items():
             for value in values:
-                document = registered()
+                document = server_document()
                 document[place][name] = value
                 self.assert_foreign(document, "")
 
@@ -109,7 +109,7 @@
                 decode_entry("servers/i", value, 1)
 
     def test_keys_that_name_no_instance(self):
-        value = json.dumps(registered()).encode()
+        value = json.dumps(server_document()).encode()
         for key in ("servers/", "servers/a b", "servers/a\r\nX: y", "servers/é", "servers/a/b"):
             with self.assertRaises(ConfigurationError):
                 decode_entry(key, value, 1)
@@ -126,32 +126,32 @@
     def test_broken_entry_takes_the_place_of_a_good_one(self):
         # Another writer overwrites the entry of one server. It is named no more
         # until its next heartbeat; the others hold all the while.
-        self.read(good_values())
-        self.read(good_values() | {"servers/i-1": b'{"state":"ready"}'})
+        self.read(valid_entries())
+        self.read(valid_entries() | {"servers/i-1": b'{"state":"ready"}'})
         self.assertIsNone(self.entry("servers/i-1"))
         self.assertEqual(self.entry("servers/i-2").service, "rates")
-        self.read(good_values())
+        self.read(valid_entries())
         self.assertEqual(self.entry("servers/i-1").service, "slots")
 
     def test_each_is_told_once(self):
         for _ in range(5):
-            self.read(good_values() | {"servers/x": None, "servers/y": b"\x00"})
+            self.read(valid_entries() | {"servers/x": None, "servers/y": b"\x00"})
         self.assertEqual([key for key, _ in self.foreign_lines()], ["servers/x", "servers/y"])
         self.assertIn("base64", self.foreign_lines()[0][1])
 
     def test_entry_without_a_birth_is_foreign_where_others_tell_theirs(self):
-        document = registered(1)
+        document = server_document(1)
         del document["born"]
-        self.read(good_values() | {"servers/x": json.dumps(document).encode()})
+        self.read(valid_entries() | {"servers/x": json.dumps(document).encode()})
         self.assertIsNone(self.entry("servers/x"))
         self.assertEqual(self.foreign_lines(), [("servers/x", "born: missing")])
 
     def test_one_entry_with_a_birth_makes_no_other_foreign(self):
-        documents = {key: json.loads(value) for key, value in good_values().items()}
+        documents = {key: json.loads(value) for key, value in valid_entries().items()}
         for document in documents.values():
             del document["born"]
         values = {key: json.dumps(document).encode() for key, document in documents.items()}
-        self.read(values | {"servers/x": json.dumps(registered(0)).encode()})
+        self.read(values | {"servers/x": json.dumps(server_document(0)).encode()})
         for key in values:
             self.assertIsNotNone(self.entry(key))
 
@@ -193,12 +193,12 @@
     @settings(max_examples=2500, deadline=None, suppress_health_check=[HealthCheck.too_slow])
     @given(mutations, cuts, keys)
     def test_whatever_is_written_the_others_hold(self, mutations, cut, name):
-        self.begin()
-        self.read(good_values())
+        self.reset()
+        self.read(valid_entries())
         key = f"servers/{name}"
-        value = mutated(registered(1), mutations, cut)
-        self.read(good_values() | {key: value})
-        for other in good_values().keys() - {key}:
+        value = mutated(server_document(1), mutations, cut)
+        self.read(valid_entries() | {key: value})
+        for other in valid_entries().keys() - {key}:
             self.assertEqual(self.entry(other).slots, 8)
         entry = self.entry(key)
         if entry is not None:
@@ -237,38 +237,38 @@
     """Which start of a server holds, whoever tells of it."""
 
     def write(self, born, state="ready", number=1):
-        document = registered(number, born=born)
+        document = server_document(number, born=born)
         document["status"]["state"] = state
-        self.read(good_values() | {"servers/i-1": json.dumps(document).encode()})
+        self.read(valid_entries() | {"servers/i-1": json.dumps(document).encode()})
 
     def test_new_start_lifts_the_draining_mark(self):
-        self.write(BORN + 5, "draining")
+        self.write(BORN_MS + 5, "draining")
         self.assertTrue(self.entry("servers/i-1").leaving)
-        self.write(BORN + 9)
+        self.write(BORN_MS + 9)
         self.assertFalse(self.entry("servers/i-1").leaving)
-        self.assertEqual(self.entry("servers/i-1").born_ms, BORN + 9)
+        self.assertEqual(self.entry("servers/i-1").born_ms, BORN_MS + 9)
 
     def test_older_birth_never_wins(self):
         # A server has started again. Then a late write of its former run
         # reaches the store, at a higher revision, and a peer repeats it.
-        self.write(BORN + 9)
-        self.write(BORN + 5, "draining")
-        self.assertEqual(self.entry("servers/i-1").born_ms, BORN + 9)
-        older = decode_entry("servers/i-1", json.dumps(registered(1)).encode(), 1)
+        self.write(BORN_MS + 9)
+        self.write(BORN_MS + 5, "draining")
+        self.assertEqual(self.entry("servers/i-1").born_ms, BORN_MS + 9)
+        older = decode_entry("servers/i-1", json.dumps(server_document(1)).encode(), 1)
         self.settings.take("servers/i-1", 10_000, older, "a peer")
-        self.assertEqual(self.entry("servers/i-1").born_ms, BORN + 9)
+        self.assertEqual(self.entry("servers/i-1").born_ms, BORN_MS + 9)
 
     def test_older_birth_does_not_come_back_after_a_removal(self):
-        self.write(BORN + 9)
+        self.write(BORN_MS + 9)
         self.read({})
         self.assertIsNone(self.entry("servers/i-1"))
-        self.write(BORN + 5)
+        self.write(BORN_MS + 5)
         self.assertIsNone(self.entry("servers/i-1"))
 
     def test_refusals_are_told_once(self):
-        self.write(BORN + 9)
+        self.write(BORN_MS + 9)
         for _ in range(5):
-            self.write(BORN + 5)
+            self.write(BORN_MS + 5)
         told = [c for c in self.events.state.call_args_list if "older than" in str(c)]
         self.assertEqual(len(told), 1)
 
@@ -293,7 +293,7 @@
 
     def test_what_the_mark_holds_says_nothing(self):
         for value in (b"", b"\xff", b"[1]", b'{"zone":"b"}', None):
-            self.begin()
+            self.reset()
             self.read_marks({"op/evacuate/a": value})
             self.assertEqual(self.settings.evacuated_zones, frozenset("a"))
 
--- a/caperstack/platform/tests/test_restore.py
+++ b/caperstack/platform/tests/test_restore.py
@@ -17,7 +17,7 @@
 from caperstack.platform.standin.store import StandinStore, StoreCopy
 from caperstack.platform.store import StoreClient, StoreItem, StoreRead
 from caperstack.platform.tests.fleetcase import FleetCase
-from caperstack.platform.tests.readercase import BORN, ReaderCase, registered
+from caperstack.platform.tests.readercase import BORN_MS, ReaderCase, server_document
 from caperstack.play.virtual import run_virtual
 from caperstack.settings.revisions import revision_in
 
@@ -110,7 +110,7 @@
         self.reader._apply_servers(read)
 
     def entry_at(self, era, revision, state="ready", created=4, **changes):
-        document = registered(1, **changes)
+        document = server_document(1, **changes)
         document["status"]["state"] = state
         value = json.dumps(document).encode()
         return StoreItem(self.KEY, value, revision_in(era, revision), revision_in(era, created))
@@ -141,8 +141,8 @@
 
     def test_server_that_starts_again_at_a_lower_revision(self):
         self.read_at(0, 20, self.entry_at(0, 20))
-        self.read_at(1, 18, self.entry_at(1, 18, born=BORN + 9))
-        self.assertEqual(self.held.born_ms, BORN + 9)
+        self.read_at(1, 18, self.entry_at(1, 18, born=BORN_MS + 9))
+        self.assertEqual(self.held.born_ms, BORN_MS + 9)
 
     def test_server_that_the_copy_lacks_is_called_on(self):
         """A server came after the copy was made, and gets no calls until it has written again."""
@@ -227,13 +227,13 @@
 
     def test_new_start_is_taken_at_once(self):
         self.read_at(0, 20, self.entry_at(0, 20, "draining"))
-        self.read_at(1, 16, self.entry_at(1, 15, born=BORN + 9))
+        self.read_at(1, 16, self.entry_at(1, 15, born=BORN_MS + 9))
         self.assertFalse(self.held.leaving)
 
     def test_new_start_of_a_server_that_was_gone_is_taken_at_once(self):
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(0, 21)
-        self.read_at(1, 16, self.entry_at(1, 15, born=BORN + 9))
+        self.read_at(1, 16, self.entry_at(1, 15, born=BORN_MS + 9))
         self.assertIsNotNone(self.held)
 
     def test_unchanged_entry_is_no_news(self):
