--- a/caperstack/platform/durations.py
+++ b/caperstack/platform/durations.py
@@ -2,7 +2,7 @@
 
 from caperstack.exception import ConfigurationError
 
-__all__ = ["seconds_of"]
+__all__ = ["parse_duration"]
 
 _UNITS = (("ms", 0.001), ("s", 1.0))
 
--- a/caperstack/platform/entries.py
+++ b/caperstack/platform/entries.py
@@ -13,7 +13,7 @@
 from caperstack.platform.durations import parse_duration
 from caperstack.platform.names import SERVERS_PREFIX
 
-__all__ = ["Births", "ServerEntry", "decode_entry", "parse_entry", "without_births"]
+__all__ = ["ServerEntry", "StartTimes", "decode_entry", "keys_without_start_time", "parse_entry"]
 
 #: What an instance may be called: it goes into a header as it is.
 INSTANCE_PATTERN = re.compile(r"[A-Za-z0-9._~-]{1,100}")
--- a/caperstack/platform/names.py
+++ b/caperstack/platform/names.py
@@ -9,9 +9,9 @@
     "EVACUATIONS_PREFIX",
     "OPERATOR_PREFIX",
     "READY_PATH",
-    "SEAL",
     "SERVERS_PREFIX",
-    "STORE_ERA",
+    "SERVER_SEAL_HEADER",
+    "STORE_ERA_HEADER",
 ]
 
 #: The environment variable with the path of the start settings.
--- a/caperstack/platform/tests/readercase.py
+++ b/caperstack/platform/tests/readercase.py
@@ -10,7 +10,7 @@
 from caperstack.settings.restores import Restores
 from caperstack.settings.store import SettingsStore
 
-__all__ = ["BORN", "FLEET", "ReaderCase", "registered"]
+__all__ = ["BORN_MS", "FLEET", "ReaderCase", "server_document"]
 
 #: The hosts whose entries are read; no process runs there.
 FLEET = PlatformFleet(["slots", "slots", "rates"], [])
