--- a/caperstack/platform/reader.py
+++ b/caperstack/platform/reader.py
@@ -1,4 +1,4 @@
-"""Who reads the platform's store, and how what it holds becomes settings and members."""
+"""Reads the platform's store in turn with the other nodes and applies its items as settings."""
 
 import asyncio
 import random
@@ -21,54 +21,54 @@
 
 __all__ = ["StoreReader"]
 
-#: The first node in order reads when the newest reading that it knows of is
-#: this old; each further one waits a step longer.  A leaving mark must be known
-#: everywhere two seconds after the store has it: the fourth node in order still
-#: reads in time when the first three have died or gone silent.
+#: The node of rank 0 reads once the newest read that it knows of is this old; each
+#: further rank waits one step longer.  A server's draining state must be known on all
+#: nodes 2 s after the store has it: with these values the fourth node in order still
+#: reads in time if the first three have failed.
 READ_AFTER_SECONDS = 0.75
 RANK_STEP_SECONDS = 0.25
 MAX_RANK_STEPS = 4
 
-#: After a failed reading a node waits so long, and counts itself behind all
-#: others that can read.
+#: The back-off after failed reads, and how long after a failure the node ranks itself
+#: behind all others, which may still reach the store.
 RETRY_SECONDS = 0.6
 MAX_RETRY_SECONDS = 2.5
 STAND_DOWN_SECONDS = 4.0
 
-#: A reading that is older than this means that the store was away.
+#: A gap between reads longer than this means that the store was unreachable.
 OUTAGE_SECONDS = 3.0
 
-
-#: The prefix of all keys.  A store that holds no more than this many bytes is
-#: read with one call in place of two, since calls are what is paid for.
+#: The prefix of all keys.  A store whose values take no more than this many bytes is
+#: read with one call instead of two, since the platform charges by the call.
 ALL_KEYS_PREFIX = ""
 MAX_SINGLE_READ_BYTES = 48 * 1024
 
-#: Foreign entries that are told in the log, one line each, and how much of the
-#: reason, in characters.
+#: The most foreign entries that are logged, one line each, and the most characters of
+#: the reason in a line.
 MAX_LOGGED_FOREIGN = 200
 MAX_REASON_CHARS = 200
 
 
 class StoreReader:
-    """Read the store in turn with all other nodes, and tell them that it was read.
-
-    Notes
-    -----
-    Failure: every node reads for itself, and what the fleet reads grows with
-    its size beyond what the store allows.  Or one node reads for all, dies or
-    is refused, and all go by what was.  Here the age of the newest reading is
-    told with every reading; whoever finds it too old reads, in an order that
-    all compute alike.  Nobody is elected, and two readers at once cost a call.
+    """Reads the store in turn with all other nodes and announces each read to them.
 
     Parameters
     ----------
     here : caperstack.config.here.Here
         This node.
     client : caperstack.platform.store.StoreClient
-        What it reads with.
+        The client of the store.
     restores : caperstack.settings.restores.Restores, optional
-        Tells whether the store came back from a copy lately.
+        Tells whether the store was restored from an older copy recently.
+
+    Notes
+    -----
+    If every node read the store itself, the number of calls would grow with the fleet
+    beyond what the store allows.  A single reader for all nodes could fail or be refused
+    and leave all of them with stale state.  Therefore each read is announced with its
+    time, and a node reads when the newest read it knows of is too old for its rank in an
+    order that all nodes compute alike.  No leader is elected; if two nodes read at the
+    same time, that costs one extra call.
     """
 
     def __init__(self, here, client, restores=None):
@@ -89,11 +89,11 @@
 
     @property
     def operator_revision(self):
-        """The revision up to which this node has read what operators write; ``None`` before."""
+        """The store revision of the last read of the operators' keys, ``None`` before the first."""
         return self._operator_revision
 
     async def start(self, kernel):
-        """Read once, so that a starting node knows the fleet if it can, and go on."""
+        """Start the read loop, which reads at once so that the node knows the fleet early."""
         self._settings = kernel.find("settings")
         self._sync = kernel.find("settings sync")
         self._fleet = kernel.find("fleet")
@@ -107,7 +107,7 @@
         self._task = asyncio.create_task(self._read_loop())
 
     async def stop(self):
-        """Stop reading."""
+        """Stop the read loop and close the client."""
         self._task.cancel()
         self._client.close()
 
@@ -152,7 +152,7 @@
             self._events.state("store", "unreadable", "readable", self._client.address)
         self._failures = 0
         if stale:
-            # Others must not take it for a reading of the present state.
+            # Not announced: other nodes would take it for a read of the current state.
             self._resume_at = deadline_after(READ_AFTER_SECONDS)
             return
         self._read_at = began
@@ -160,14 +160,13 @@
 
     @property
     def _unlisted(self):
-        """Whether this host is not in the list yet, so that no reader can know of it.
+        """Whether this node's backend server has not been listed, so that no peer knows the node.
 
         Notes
         -----
-        Failure: all hosts start together, and until its backend server is
-        registered and seen, each node reads for itself: at 73 hosts 680 calls
-        before the first request.  Readings that may be old cost a tenth, and
-        nothing depends on them yet but whom to dial.
+        Such a node has to read the store itself.  When all hosts started together, 73
+        hosts made 680 calls before the first request.  Stale reads cost a tenth, and
+        until the server is listed they only decide which peers to connect to.
         """
         return self._read_at is not None and not self._fleet.registered
 
@@ -188,7 +187,8 @@
                 await self._client.read(SERVERS_PREFIX, stale),
             ]
         if not stale:
-            # Before what is missing is judged: it may be missing because of the gap.
+            # Must precede the deletions below: a server's entry may be missing because
+            # of the outage.
             self._detect_outage(began)
             self._track_revision(reads[0])
         self.apply_operator_read(reads[0])
@@ -198,7 +198,7 @@
         self._single_read = size <= MAX_SINGLE_READ_BYTES
 
     def _track_revision(self, read):
-        """Tell the first position of the store, and when it goes back or names another era."""
+        """Log the store's first revision, and any later one that is lower or of another era."""
         former, self._store_revision = self._store_revision, read.revision
         self._restores.note(read.revision)
         if former and era_of(former) == era_of(read.revision) and former <= read.revision:
@@ -209,7 +209,7 @@
         self._events.state("store position", old, in_words(read.revision), self._client.address)
 
     def apply_operator_read(self, read):
-        """Take what operators have written, from a `StoreRead` that holds all of it."""
+        """Apply a `StoreRead` that holds all keys of the operators."""
         for item in read.items:
             self.apply_change(item)
         if self._restores.missing_may_return:
@@ -218,22 +218,23 @@
         self._delete_missing(EVACUATIONS_PREFIX, marks, read.revision)
 
     def apply_change(self, item):
-        """Take one item that operators have written or taken away; others are passed over."""
+        """Apply one item that an operator wrote or deleted; ignore keys of other kinds."""
         if item.key.startswith(EVACUATIONS_PREFIX):
-            # What the mark holds says nothing: its key names the zone.
+            # The key names the zone; the value is ignored.
             document = None if item.deleted else {}
             self._settings.take(item.key, item.revision, document, "store")
         elif item.key == CONFIGURATION_KEY and not item.deleted:
             self._apply_configuration(item)
 
     def _apply_configuration(self, item):
-        """Take the configuration if its version is higher than the one in force.
+        """Offer the configuration to the settings, ordered by its version.
 
         Notes
         -----
-        Failure: the store loses its last writes, gives their revisions out again, and
-        the next configurations lie at revisions that were seen before.  Operators
-        raise the version with each configuration, whatever the store forgets.
+        The store's revision cannot order configurations: a store that loses its last
+        writes assigns their revisions again, so that new configurations come at
+        revisions that were seen before.  Operators raise the version with each
+        configuration, independently of the store.
         """
         value = item.value or b""
         seen, self._configuration_digest = self._configuration_digest, xxh3_64_intdigest(value)
@@ -252,7 +253,7 @@
         self._settings.take(item.key, version, document, "store")
 
     def _delete_missing(self, prefix, present, revision):
-        """Take all that is held under `prefix` and was not `present` at `revision` for deleted."""
+        """Delete all settings under `prefix` whose keys are not in `present` at `revision`."""
         for held in self._settings.held():
             missing = held.path.startswith(prefix) and held.path not in present
             if missing and not held.deleted:
@@ -278,13 +279,20 @@
         self._delete_missing(SERVERS_PREFIX, items, read.revision)
 
     def _delete_foreign(self, foreign, items):
-        """Name no backend server by entries that no backend server writes.
+        """Delete the settings of keys whose entries no backend server can have written.
+
+        Parameters
+        ----------
+        foreign : dict of str to str
+            The reason for each key.
+        items : dict of str to StoreItem
+            The items that were read.
 
         Notes
         -----
-        Failure: another writer puts something else in the place of a good
-        entry.  The last good one would be called on though its server may be
-        long gone; where it lives, its next heartbeat brings the entry back.
+        Another writer may overwrite a valid entry.  Keeping the last valid one would
+        send calls to a server that may be long gone; if the server lives, its next
+        heartbeat restores the entry.
         """
         for key, reason in foreign.items():
             held = self._settings.get(key)
@@ -302,9 +310,10 @@
             self._settings.take(item.key, item.revision, entry, "store")
             return
         if not held.deleted and number_of(held.document["created"]) == number_of(entry["created"]):
-            # A restore changes the era of all creations, and of no server.
+            # A restore of the store changes the era of every creation revision, but the
+            # server is the same.
             entry["created"] = held.document["created"]
-        # The heartbeat raises the item's revision all the time; only what
-        # changed in substance is news to others.
+        # Each heartbeat raises the item's revision; only a changed entry is passed on to
+        # other nodes.
         if held.document != entry:
             self._settings.take(item.key, item.revision, entry, "store")
