--- a/caperstack/platform/entries.py
+++ b/caperstack/platform/entries.py
@@ -1,4 +1,4 @@
-"""Entries of backend servers in the platform's store: decoded whole, or foreign."""
+"""Decoding and validation of the entries under which backend servers register in the store."""
 
 import math
 import re
@@ -15,16 +15,17 @@
 
 __all__ = ["ServerEntry", "StartTimes", "decode_entry", "keys_without_start_time", "parse_entry"]
 
-#: What an instance may be called: it goes into a header as it is.
+#: The permitted instance names; a name is sent in a header without escaping.
 INSTANCE_PATTERN = re.compile(r"[A-Za-z0-9._~-]{1,100}")
 
-#: Slots beyond this are no backend server's; sites have 3 to 300.
+#: More slots than this are not from a backend server; real ones have 3 to 300.
 MAX_SLOTS = 100_000
 
-#: Births beyond this, in milliseconds since 1970, are no point in time: the year 2286.
+#: The highest valid start time, in milliseconds since 1970: the year 2286.
 MAX_BORN_MS = 10**13
 
-#: Instances whose birth is remembered; of 1,100 servers replaced each day the last three days.
+#: The most instances whose start time is remembered: over three days of replacements for
+#: a fleet of 1,100 servers that are all replaced each day.
 MAX_START_TIMES = 4096
 
 _Slots = Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
@@ -50,12 +51,12 @@
     address: str
     info: _Info
     status: _Status
-    # When the server started; platforms that do not tell it leave it out.
+    # The start time of the server; some platforms leave it out.
     born: _BornMs | msgspec.UnsetType = msgspec.UNSET
 
 
 class _PeerEntry(msgspec.Struct):
-    """What matters of an entry, as nodes tell each other: no heartbeat and no age."""
+    """An entry as nodes pass it on, without the fields that each heartbeat changes."""
 
     service: str
     address: str
@@ -68,23 +69,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """A backend server as it registered itself.
+    """A backend server as registered in the store.
 
     Attributes
     ----------
     instance : str
-        The name that the server has; it may start again under the same one.
+        The server's name; a restarted server may keep it.
     address : str
         Its ``ip:port``.
     host : str
-        The IP in it, which names the node beside the server.
+        The IP of `address`, which also identifies the node beside the server.
     leaving : bool
-        Whether it drains.
+        Whether it is draining.
     created : int
-        The store's revision at which the entry appeared.
+        The store revision at which the entry was created.
     born_ms : int
-        When the server started, in milliseconds since 1970; tells its starts
-        under one name apart. 0 where the platform does not say.
+        The start time in milliseconds since 1970, which distinguishes the starts of a
+        server under one name; 0 if the platform does not give it.
     """
 
     instance: str
@@ -99,36 +100,36 @@
 
     @property
     def incarnation(self):
-        """What tells this start of the server from every other."""
+        """The identifier of this start of the server, unique among all starts and servers."""
         return f"{self.instance}@{self.born_ms}"
 
     @property
     def order(self):
-        """Of two entries at one address the one that is higher here holds it."""
+        """The sort key that decides between two entries for one host: the higher one is current."""
         return self.born_ms, self.created
 
 
 class StartTimes:
-    """The latest birth seen of each instance, so that an older one never wins.
+    """The latest known start time of each instance, used to reject entries of earlier starts.
 
     Notes
     -----
-    Failure: a backend server starts again under the name that it had, and a
-    late write of its former run, or a peer that still holds that, puts the
-    former address and draining mark in its place.  The store's revisions do
-    not tell them apart: the late write has the higher one.
+    When a backend server restarts under the same name, a late write of its former run,
+    or a peer that still holds the former entry, could bring back the old address and
+    draining state.  The store's revisions cannot order the two, since the late write
+    has the higher revision.
     """
 
     def __init__(self):
         self._latest = OrderedDict()
 
     def check(self, entry):
-        """Note the birth of `entry`.
+        """Record the start time of `entry`.
 
         Raises
         ------
         ConfigurationError
-            If a later birth of that instance is known.
+            If a later start of that instance is known.
         """
         latest = self._latest.get(entry.instance, 0)
         if entry.born_ms < latest:
@@ -139,26 +140,26 @@
             self._latest.popitem(last=False)
 
     def knows(self, instance, born_ms):
-        """Return whether that start of an instance, or a later one, was seen."""
+        """Return whether this start of the instance, or a later one, has been recorded."""
         return self._latest.get(instance, -1) >= born_ms
 
 
 def decode_entry(key, value, created):
-    """Return what matters of the entry in `value`, as a document for peers.
+    """Decode an entry of the store into the document that nodes exchange.
 
     Parameters
     ----------
     key : str
-        The item's key.
+        The key of the item.
     value : bytes or None
-        What lies there; ``None`` if it could not be read.
+        The stored value; ``None`` if it was not valid base64.
     created : int
-        The store's revision at which the item appeared.
+        The store revision at which the item was created.
 
     Raises
     ------
     ConfigurationError
-        If no backend server registers itself so, with the reason.
+        With the reason, if no backend server can have written the value.
     """
     if value is None:
         raise ConfigurationError("not base64", step=key)
@@ -168,7 +169,7 @@
             raise ValueError("coldLeft: not finite")
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise ConfigurationError(str(error), step=key) from None
-    told = _PeerEntry(
+    entry = _PeerEntry(
         service=server.info.service,
         address=server.address,
         zone=server.info.zone,
@@ -177,13 +178,13 @@
         created=created,
         born_ms=0 if server.born is msgspec.UNSET else server.born,
     )
-    document = msgspec.to_builtins(told)
+    document = msgspec.to_builtins(entry)
     parse_entry(key, document)
     return document
 
 
 def parse_entry(key, document):
-    """Return the `ServerEntry` of a document that `decode_entry` or a peer gave.
+    """Return the `ServerEntry` of a document from `decode_entry` or from a peer.
 
     Raises
     ------
@@ -191,35 +192,35 @@
         Naming the key and the reason.
     """
     try:
-        told = msgspec.convert(document, _PeerEntry)
+        fields = msgspec.convert(document, _PeerEntry)
         instance = key.removeprefix(SERVERS_PREFIX)
         if not INSTANCE_PATTERN.fullmatch(instance):
             raise ValueError("key: names no instance")
-        if not told.service:
+        if not fields.service:
             raise ValueError("service: empty")
-        ip, port = split_address(told.address)
-        if f"{ip}:{port}" != told.address:
-            raise ValueError(f"address: {told.address!r} is not plain")
+        ip, port = split_address(fields.address)
+        if f"{ip}:{port}" != fields.address:
+            raise ValueError(f"address: {fields.address!r} is not plain")
     except (msgspec.MsgspecError, ValueError) as error:
         raise ConfigurationError(str(error), step=key) from None
     return ServerEntry(
         instance=instance,
-        service=told.service,
-        address=told.address,
+        service=fields.service,
+        address=fields.address,
         host=ip,
-        zone=told.zone,
-        slots=told.slots,
-        leaving=told.state == "draining",
-        created=told.created,
-        born_ms=told.born_ms,
+        zone=fields.zone,
+        slots=fields.slots,
+        leaving=fields.state == "draining",
+        created=fields.created,
+        born_ms=fields.born_ms,
     )
 
 
 def keys_without_start_time(documents):
-    """Return the keys of `documents` that lack a birth though most tell theirs.
+    """Return the keys of entries without a start time if more than half of `documents` have one.
 
-    A platform whose servers tell their births is told from one that does not
-    by what most entries hold: one foreign entry must not decide for all others.
+    Whether the platform gives start times is decided by the majority of the entries, so
+    that a single foreign entry cannot make all others invalid.
     """
-    silent = {key for key, document in documents.items() if not document["born_ms"]}
-    return silent if 2 * len(silent) < len(documents) else set()
+    missing = {key for key, document in documents.items() if not document["born_ms"]}
+    return missing if 2 * len(missing) < len(documents) else set()
--- a/caperstack/platform/items.py
+++ b/caperstack/platform/items.py
@@ -1,4 +1,4 @@
-"""The operator's configuration in the platform's store, decoded once into the product's types."""
+"""Decoding of the operators' configuration in the store and its compilation to routes."""
 
 from dataclasses import dataclass, field
 from typing import Annotated
@@ -17,7 +17,8 @@
 
 IDEMPOTENT_BY_KIND = {"idempotent": True, "non_idempotent": False}
 
-#: Health checks a second of a server whose answers to calls do not tell its pace.
+#: The rate of health checks, per second, for a server whose answers to calls do not show its
+#: pace.
 MEASURING_PER_SECOND = 12.0
 
 
@@ -35,9 +36,9 @@
     prefix: str
     kind: str
     timeout: str
-    # The time within which an answer is worth most, not an average.
+    # The response time within which an answer has its full value; not an average.
     objective: str = msgspec.field(name="targetLatency")
-    # 0 is the most urgent.
+    # 0 is the highest priority.
     priority: int
     attempts: int = msgspec.field(name="maxAttempts")
     service: str | None = None
@@ -48,7 +49,8 @@
     name: str
     health_path: str = msgspec.field(name="healthPath")
     connections: int = msgspec.field(name="maxConnections")
-    # What a cold server bears, not what it gets; 0 or nothing if there is no bound.
+    # How long a server is cold and the request rate that it tolerates then, which is not the
+    # rate that it gets; 0 or absent if there is no bound.
     cold: str = "0s"
     cold_per_second: _Rate = msgspec.field(name="coldPerS", default=0.0)
 
@@ -64,7 +66,7 @@
 
 
 class _Versioned(msgspec.Struct):
-    # Rises with each configuration that operators write.
+    # Increases with each configuration that operators write.
     version: Annotated[int, msgspec.Meta(ge=0)]
 
 
@@ -76,16 +78,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceLimits:
-    """Where a service's health is asked, and what a server takes.
+    """The health path of a service and the limits of each of its servers.
 
     Attributes
     ----------
+    health_path : str
+        The path of the health check.
     connections : int
-        The connections that a server takes.
+        The maximum number of connections to a server.
     cold_per_second : float
-        The requests a second that a cold server tolerates; 0 if nothing is said.
+        The requests per second that a cold server tolerates; 0 if not configured.
     cold_seconds : float
-        For how long a server that has just started is cold; 0 if nothing is said.
+        How long a server is cold after its start; 0 if not configured.
     """
 
     health_path: str
@@ -96,7 +100,7 @@
 
 @dataclass(slots=True)
 class Configuration:
-    """One version of the operator's configuration."""
+    """One version of the operators' configuration."""
 
     version: int
     routes: tuple
@@ -113,12 +117,12 @@
 
 
 class StoreCodec:
-    """Parses and compiles what the store holds, for `caperstack.settings.store.SettingsStore`.
+    """Parses and compiles the store's items for `caperstack.settings.store.SettingsStore`.
 
     Parameters
     ----------
     restores : caperstack.settings.restores.Restores, optional
-        Tells whether the store came back from a copy lately.
+        Tells whether the store was restored from an older copy recently.
     """
 
     def __init__(self, restores=None):
@@ -127,7 +131,7 @@
 
     @property
     def measuring_per_second(self):
-        """Health checks a second."""
+        """The rate of health checks, per second."""
         return MEASURING_PER_SECOND
 
     def parse(self, key, document):
@@ -150,16 +154,16 @@
         return entry
 
     def is_overtaken(self, held, revision, document):
-        """Return whether `document` may be of a time before what is held, in spite of its revision.
+        """Return whether `document` may be older than the held setting despite its revision.
 
         Notes
         -----
-        Failure: the store comes back from a copy that shows a server before it left, or
-        began to leave. A node reads that, or hears it from a peer that has just started,
-        and calls go there again.
+        A store that is restored from an older copy shows servers that have left since,
+        and shows as ready servers that have begun to drain.  If a node took such an entry
+        from the store, or from a peer that has just started, calls would go there again.
         """
         if held.path == CONFIGURATION_KEY:
-            # Its version is no revision of the store.
+            # It is ordered by its version, which is not a revision of the store.
             return False
         self._restores.note(revision)
         if document is None or held.revision < 0 or not held.path.startswith(SERVERS_PREFIX):
@@ -169,7 +173,7 @@
         return self._reverts_departure(held, document)
 
     def _reverts_departure(self, held, document):
-        """Return whether a server that is gone or leaving would be ready again by `document`."""
+        """Return whether `document` would make a server that left or is draining ready again."""
         entry = parse_entry(held.path, document)
         if held.deleted:
             return self._start_times.knows(entry.instance, entry.born_ms)
@@ -177,7 +181,7 @@
         return same_start and held.parsed.leaving and not entry.leaving
 
     def compile(self, parsed):
-        """Return the `RoutingTable` of what is held, by key."""
+        """Return the `RoutingTable` for `parsed`, the parsed settings by key."""
         table = RoutingTable()
         marks = [mark for mark in parsed.values() if isinstance(mark, EvacuatedZone)]
         table.evacuated_zones = frozenset(mark.zone for mark in marks)
@@ -191,25 +195,25 @@
         return table
 
     def affects_routes(self, key):
-        """Return whether a change of `key` changes the table."""
+        """Return whether a change of `key` changes the routing table."""
         return key == CONFIGURATION_KEY or key.startswith(EVACUATIONS_PREFIX)
 
     def dates_routes(self, key):
-        """Return whether the revision of `key` tells the age of the table: the configuration's."""
+        """Return whether `key` is the configuration's, whose revision dates the routing table."""
         return key == CONFIGURATION_KEY
 
     def complete(self, parsed):
-        """Return whether what is held tells all routes."""
+        """Return whether `parsed` holds all routes."""
         return CONFIGURATION_KEY in parsed
 
 
 def decode_configuration(key, value):
-    """Return the document in the bytes of a configuration, and the version that orders it.
+    """Decode a configuration and return its document and its version, which orders it.
 
     Raises
     ------
     ConfigurationError
-        Naming the key and the reason, if the bytes hold no version.
+        Naming the key and the reason, if `value` is not JSON with a valid version.
     """
     try:
         document = msgspec.json.decode(value)
@@ -244,24 +248,24 @@
 
 def _decode_rows(table, row_type):
     for values in table.rows:
-        named = {
+        fields = {
             name: value
             for name, value in zip(table.columns, values, strict=True)
             if value is not None
         }
-        yield msgspec.convert(named, row_type)
+        yield msgspec.convert(fields, row_type)
 
 
 def _convert_route(row):
-    place = f"routes.{row.name}"
+    field_path = f"routes.{row.name}"
     if row.kind not in IDEMPOTENT_BY_KIND:
-        raise ConfigurationError(f"unknown: {row.kind!r}", step=place, peer="kind")
+        raise ConfigurationError(f"unknown: {row.kind!r}", step=field_path, peer="kind")
     if row.split:
         parts = tuple(WeightedService(part.service, part.weight) for part in row.split)
     elif row.service:
         parts = (WeightedService(row.service, 1.0),)
     else:
-        raise ConfigurationError("neither a service nor a split", step=place, peer="service")
+        raise ConfigurationError("neither a service nor a split", step=field_path, peer="service")
     return Route(
         path=row.prefix,
         parts=parts,
@@ -269,7 +273,7 @@
         host=row.host,
         idempotent=IDEMPOTENT_BY_KIND[row.kind],
         criticality=-row.priority,
-        deadline_seconds=parse_duration(row.timeout, f"{place}.timeout"),
-        objective_seconds=parse_duration(row.objective, f"{place}.targetLatency"),
+        deadline_seconds=parse_duration(row.timeout, f"{field_path}.timeout"),
+        objective_seconds=parse_duration(row.objective, f"{field_path}.targetLatency"),
         attempts=row.attempts,
     )
