--- a/caperstack/platform/fleet.py
+++ b/caperstack/platform/fleet.py
@@ -1,4 +1,4 @@
-"""From what the store holds to members, the owner's backend server and its limits."""
+"""Applies the settings from the store to the members and to the owner's backend server."""
 
 import asyncio
 
@@ -10,22 +10,21 @@
 
 
 class FleetView:
-    """Keep members and the owner in step with the store.
+    """Keeps the members and the owner up to date with the settings from the store.
 
     Parameters
     ----------
     here : caperstack.config.here.Here
         This node.
     cold_bound : caperstack.platform.boot.ColdBound
-        What a cold backend server may get in a second.
+        Bounds the request rate of a cold backend server.
 
     Notes
     -----
-    Failure: each change of one backend server's entry makes every node take in
-    the whole list again.  When a fleet is replaced, that is the square of its
-    size: at 195 hosts 20 ms of a weak core for each change, a fifth of all that
-    a node used.  Only the hosts whose entries changed are looked at; two
-    entries may name one host for a while, so those of a host are kept together.
+    Only the hosts whose entries changed are processed.  Processing all entries at each
+    change makes the replacement of a whole fleet quadratic in its size: at 195 hosts it
+    took 20 ms of a slow core for each change, a fifth of a node's CPU time.  Entries are
+    indexed by host because two of them may name the same host for a while.
     """
 
     def __init__(self, here, cold_bound):
@@ -40,20 +39,20 @@
         self._unconfigured = set()
 
     async def start(self, kernel):
-        """Follow the settings."""
+        """Subscribe to changes of the settings."""
         self._events = kernel.find("events")
         self._settings = kernel.find("settings")
         self._members = kernel.find("members")
         self._owner = kernel.find("owner")
-        # Failure: a node starts while the address of its backend server has
-        # gone to one of another service.  The settings still name the old one,
-        # no instance is known to ask for, and the other service runs what no
-        # configuration sends it.  Until the server is listed it gets no call.
+        # The server gets no call until it is listed.  Its address may have been reused by
+        # a server of another service while the start settings still name the old one; as
+        # no instance is known yet that the calls could name, the other service would run
+        # calls that no configuration routes to it.
         self._owner.set_listed(False)
         self._settings.listen(self._on_change)
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing; the view has no task."""
 
     @property
     def registered(self):
@@ -67,18 +66,19 @@
         return None if held is None else held.parsed
 
     def health_path(self):
-        """Return the health path of the service beside this node."""
+        """Return the health path of the backend server's service, ``/health`` if unknown."""
         configuration = self.configuration
         limits = configuration and configuration.services.get(self._here.backend.service)
         return limits.health_path if limits else "/health"
 
     def _on_change(self, held):
         if not self._changed_hosts:
-            # A node that starts takes in all entries in one turn of the loop;
-            # two entries of a host are judged together.
+            # Deferred, so that a starting node applies all entries in one iteration of the
+            # event loop, and two entries of a host are compared with each other.
             asyncio.get_running_loop().call_soon(self._apply_changes)
-        # A dict serves as an ordered set: hosts are looked at in the order of the
-        # changes.  The own host is always among them, so that an apply is due.
+        # The dict is used as an ordered set: hosts are processed in the order of the
+        # changes.  The node's own host is always added, so that the dict is not empty while
+        # a call of _apply_changes is scheduled.
         self._changed_hosts[self._here.host] = True
         if held.path == CONFIGURATION_KEY:
             self._apply_limits(held.parsed)
@@ -89,32 +89,33 @@
     def _apply_limits(self, configuration):
         limits = self._here.limits
         limits.body_bytes = configuration.body_bytes
-        # A caller may send on a connection that was idle for as long as any
-        # configuration in force allows.
+        # Never reduced: a caller may still use a connection that was idle for as long as
+        # an earlier configuration allowed.
         limits.idle_seconds = max(limits.idle_seconds, configuration.idle_seconds)
 
     def _apply_cold_limit(self):
         configuration = self.configuration
         limits = configuration and configuration.services.get(self._here.backend.service)
         if limits:
-            most = self._cold_bound.per_second(limits.cold_per_second)
-            self._owner.set_cold_limit(most, limits.cold_seconds)
+            max_per_second = self._cold_bound.per_second(limits.cold_per_second)
+            self._owner.set_cold_limit(max_per_second, limits.cold_seconds)
 
     def _update_services(self, configuration):
-        # A service may be named only by a later configuration than its servers.
+        # Servers may register before the configuration that names their service, so all
+        # hosts are checked again.
         services = frozenset(configuration.services)
         if services != self._services:
             self._services = services
             self._changed_hosts.update(dict.fromkeys(self._entries_by_host))
 
     def _index_entry(self, path, entry):
-        """The entry at that path is `entry` now, or gone if ``None``."""
+        """Replace the entry at `path` in the index; ``None`` removes it."""
         former = self._entries.pop(path, None)
         if former is not None:
             self._changed_hosts[former.host] = True
-            neighbours = self._entries_by_host[former.host]
-            del neighbours[path]
-            if not neighbours:
+            at_host = self._entries_by_host[former.host]
+            del at_host[path]
+            if not at_host:
                 del self._entries_by_host[former.host]
         if entry is None:
             self._unconfigured.discard(path)
@@ -124,8 +125,8 @@
         self._entries_by_host.setdefault(entry.host, {})[path] = entry
 
     def _apply_changes(self):
-        due, self._changed_hosts = self._changed_hosts, {}
-        for host in due:
+        changed, self._changed_hosts = self._changed_hosts, {}
+        for host in changed:
             entry = self._newest(host)
             if entry is None:
                 self._members.remove(host)
@@ -136,13 +137,13 @@
                 self._apply_cold_limit()
 
     def _newest(self, host):
-        """Return the entry that holds `host`, or ``None``."""
+        """Return the newest configured entry of `host`, or ``None``."""
         entries = self._entries_by_host.get(host, {}).items()
-        named = [entry for path, entry in entries if self._is_configured(path, entry)]
-        return max(named, key=lambda entry: entry.order, default=None)
+        configured = [entry for path, entry in entries if self._is_configured(path, entry)]
+        return max(configured, key=lambda entry: entry.order, default=None)
 
     def _is_configured(self, path, entry):
-        """Return whether the configuration, if one is known, names the entry's service."""
+        """Return whether the entry's service is configured; ``True`` without a configuration."""
         if self._services is None or entry.service in self._services:
             self._unconfigured.discard(path)
             return True
@@ -171,5 +172,5 @@
         self._registered = True
         self._owner.assign(entry.instance, entry.service, entry.born_ms)
         self._owner.resize(entry.slots)
-        # Its service's limits come with the configuration: no call before.
+        # No call before the configuration is known, as it holds the limits of the service.
         self._owner.set_listed(not entry.leaving and self.configuration is not None)
--- a/caperstack/platform/reader.py
+++ b/caperstack/platform/reader.py
@@ -29,7 +29,7 @@
 RANK_STEP_SECONDS = 0.25
 MAX_RANK_STEPS = 4
 
-#: The back-off after failed reads, and how long after a failure the node ranks itself
+#: The back-off after failed reads, in seconds, and how long after a failure the node ranks itself
 #: behind all others, which may still reach the store.
 RETRY_SECONDS = 0.6
 MAX_RETRY_SECONDS = 2.5
--- a/caperstack/platform/store.py
+++ b/caperstack/platform/store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, which can only be read."""
+"""The read-only client of the platform's key-value store."""
 
 import asyncio
 import base64
@@ -17,19 +17,19 @@
 
 __all__ = ["StoreChanges", "StoreClient", "StoreItem", "StoreRead"]
 
-#: An answer takes 4 ms as a rule and 60 times that on bad days.
+#: The timeout of a call.  An answer usually takes 4 ms and on bad days 60 times that.
 CALL_TIMEOUT_SECONDS = 1.0
 
-#: The store gives at most 1 MB a page, in base64 and JSON somewhat more.
+#: A page has at most 1 MB, which base64 and JSON enlarge.
 MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 
-#: How much later than the end of its wait a watch is answered at most, in seconds.
+#: How long after the end of its wait a watch may be answered, in seconds.
 WATCH_GRACE_SECONDS = 1.0
 
-#: The status of a watch whose history is not kept any more.
+#: The HTTP status if the store no longer keeps the changes that a watch asks for.
 HISTORY_GONE = 410
 
-#: Pages of one read; beyond that something is wrong.
+#: The most pages of one read; more of them mean a fault, such as pages without end.
 MAX_PAGES = 200
 
 
@@ -60,23 +60,29 @@
 
 class _Events(msgspec.Struct):
     events: list[_Event]
-    # From where the next watch goes on.
+    # The revision from which the next watch continues.
     revision: _Revision = msgspec.field(name="storeRevision")
 
 
 @dataclass(frozen=True, slots=True)
 class StoreItem:
-    """One item, with the revisions of its last change and of its creation.
+    """One item of the store.
 
-    Revisions here and below are in order over all eras of the store, see
-    `caperstack.settings.revisions.revision_in`.
+    The revisions here and in the classes below are ordered across all eras of the store,
+    see `caperstack.settings.revisions.revision_in`.
 
     Attributes
     ----------
+    key : str
+        The key.
     value : bytes or None
-        ``None`` if it was not encoded as the store encodes.
+        The value; ``None`` if it was not valid base64.
+    revision : int
+        The revision of the last change.
+    created : int
+        The revision of the creation.
     deleted : bool
-        Whether that change took it away.
+        Whether the last change deleted the item.
     """
 
     key: str
@@ -93,9 +99,10 @@
     Attributes
     ----------
     items : list of StoreItem
-        The items, by key.
+        The items, in the order of their keys.
     revision : int
-        The store's revision at the first page: what is missing was gone then.
+        The store's revision at the first page, at which items that are missing from the read
+        had been deleted.
     """
 
     items: list
@@ -104,14 +111,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreChanges:
-    """What has changed under a prefix.
+    """The changes under a prefix.
 
     Attributes
     ----------
     items : list of StoreItem
         The changes, in order.
     revision : int
-        Where the next watch goes on.
+        The revision from which the next watch continues.
     """
 
     items: list
@@ -126,7 +133,7 @@
     address : str
         The store's ``ip:port``.
     metrics : caperstack.operators.metrics.Metrics
-        Counts the calls, which are priced, refused ones included.
+        Counts the calls; the platform charges for each, refused ones included.
     """
 
     def __init__(self, address, metrics):
@@ -140,7 +147,7 @@
         return self._address
 
     def close(self):
-        """Drop all calls."""
+        """Close the HTTP client and abort its calls."""
         self._client.close()
 
     async def read(self, prefix, stale=False):
@@ -149,14 +156,14 @@
         Parameters
         ----------
         prefix : str
-            Of the keys.
+            The prefix of the keys.
         stale : bool
-            Whether what is told may be seconds old, at a tenth of the price.
+            Whether the answer may be seconds old, at a tenth of the price.
 
         Raises
         ------
         PlatformError
-            If the store refuses, is silent or sends something else.
+            If the store refuses the call, does not answer in time or sends an invalid answer.
         """
         items = []
         revision = None
@@ -174,24 +181,24 @@
         raise PlatformError("no end of pages", step="read", peer=self._address)
 
     async def watch(self, prefix, after, wait_until):
-        """Return the `StoreChanges` under `prefix` beyond a revision, as soon as there are any.
+        """Wait for changes under `prefix` after a revision and return the `StoreChanges`.
 
         Parameters
         ----------
         prefix : str
-            Of the keys.
+            The prefix of the keys.
         after : int
-            The revision beyond which changes are told.
+            The revision after which changes are returned.
         wait_until : float
-            The point until which the store waits for one; none have come then.
+            The time until which the store waits for a change; the result is empty then.
 
         Raises
         ------
         HistoryError
-            If the store does not keep the changes since that revision any more, or
-            has come back from a copy since.
+            If the store no longer keeps the changes since that revision, or has been
+            restored from an older copy since.
         PlatformError
-            If the store refuses, is silent or sends something else.
+            If the store refuses the call, does not answer in time or sends an invalid answer.
         """
         wait = max(0.0, time_left(wait_until))
         query = urlencode({"prefix": prefix, "after": number_of(after), "waitMs": int(wait * 1000)})
@@ -202,7 +209,8 @@
             raise PlatformError(str(error), step="watch", peer=self._address) from None
         era = self._era(response)
         if era != era_of(after):
-            # The number may be given out again: what was written below it is not told.
+            # After a restore the store assigns revisions again, so this answer lacks the
+            # changes that were written below `after`.
             raise HistoryError("another era", step="watch", peer=self._address)
         items = [_store_item(event, era) for event in page.events]
         return StoreChanges(items, revision_in(era, page.revision))
@@ -220,7 +228,7 @@
             raise PlatformError(str(error), step="page", peer=self._address) from None
 
     def _era(self, response):
-        """Return the era that an answer names; 0 where the store names none."""
+        """Return the era in the header of an answer; 0 if the store sends none."""
         text = response.headers.get(STORE_ERA_HEADER, "0")
         if not (text.isascii() and text.isdigit() and int(text) < ERAS):
             raise PlatformError(
@@ -237,8 +245,8 @@
                 request_timeout=seconds,
                 decompress_response=False,
             )
-            # A call that nobody waits for any more ends by itself; cancelled, it would
-            # write its failure to standard error.
+            # Shielded: a cancelled call would write its failure to standard error, while an
+            # abandoned one ends by itself.
             request.add_done_callback(_retrieve_exception)
             response = await asyncio.shield(request)
         except HTTPClientError as error:
@@ -257,8 +265,8 @@
 
 
 def _store_item(item, era):
-    # Failure: one value that can't be read fails the whole reading, for as long
-    # as it lies there, and nobody learns of any other server.
+    # A value that is not base64 must not fail the whole read: as long as it was stored, no
+    # node would learn of any other server.
     try:
         value = base64.b64decode(item.value, validate=True)
     except ValueError:
--- a/caperstack/platform/watch.py
+++ b/caperstack/platform/watch.py
@@ -1,4 +1,4 @@
-"""The waiting watch by which a few nodes of each zone learn at once what operators write."""
+"""The long-poll watch with which two nodes of each zone learn of operators' changes at once."""
 
 import asyncio
 import random
@@ -10,41 +10,41 @@
 
 __all__ = ["OperatorWatch"]
 
-#: How long one call waits for a change, in seconds; a call that ends brings the
-#: next one, and each is paid for.
+#: How long the store holds one call while there is no change, in seconds.  Each call is
+#: followed by the next, and the platform charges by the call.
 WAIT_SECONDS = 15.0
 
-#: An answer without changes that comes sooner than the end of the wait by more than
-#: this is a failure, in seconds: the next call would follow at once, without end.
+#: An answer without changes that arrives more than this before the end of the wait, in
+#: seconds, is treated as a failure: the calls would otherwise follow each other in a busy
+#: loop.
 MIN_EARLY_SECONDS = 1.0
 
-#: After a failed call a node waits so long before the next one, in seconds; after
-#: the first failure of several it does not wait.
+#: The back-off after a failed call, in seconds; the first of several failures is retried at once.
 RETRY_SECONDS = 0.5
 MAX_RETRY_SECONDS = 8.0
 
-#: How often a node that does not watch looks whether it should, in seconds.
+#: How often a node that does not watch checks whether it should, in seconds.
 IDLE_SECONDS = 1.0
 
 
 class OperatorWatch:
-    """Hold a waiting watch on the operator's keys, if this node is one of those that do.
-
-    Notes
-    -----
-    The first two nodes of each zone, in an order that all compute alike, watch.  A
-    change is told to them as it is written, and they tell the others.  The readings
-    in turn go on: they are what is left when a watch is cut, hears nothing or has
-    lost its history.
+    """Watches the operators' keys by long polling, if this node is a reader of its zone.
 
     Parameters
     ----------
     here : caperstack.config.here.Here
         This node.
     client : caperstack.platform.store.StoreClient
-        What it watches with.
+        The client of the store.
     reader : caperstack.platform.reader.StoreReader
-        Takes what comes.
+        Applies the changes.
+
+    Notes
+    -----
+    The readers are the first two nodes of each zone in an order that all nodes compute
+    alike.  They get each change as it is written and pass it on to the other nodes.  The
+    periodic reads of `StoreReader` continue, for the case that a watch is interrupted,
+    receives nothing or has lost its history.
     """
 
     def __init__(self, here, client, reader):
@@ -58,7 +58,7 @@
         self._task = None
 
     async def start(self, kernel):
-        """Begin to watch."""
+        """Start the watch loop."""
         self._events = kernel.find("events")
         self._fleet = kernel.find("fleet")
         self._metrics = kernel.find("metrics")
@@ -66,7 +66,7 @@
         self._task = asyncio.create_task(self._watch_loop())
 
     async def stop(self):
-        """Stop watching."""
+        """Stop the watch loop."""
         self._task.cancel()
 
     async def _watch_loop(self):
@@ -80,9 +80,10 @@
             except HistoryError as error:
                 self._revision = None
                 self._history_lost = True
-                # The store answers, so it is read at once; but only once in vain.
-                at_once, self._retried_at_once = not self._retried_at_once, True
-                await self._back_off(error, at_once)
+                # The store does answer, so it is read without a back-off, but only once until
+                # a watch succeeds.
+                immediately, self._retried_at_once = not self._retried_at_once, True
+                await self._back_off(error, immediately)
             except PlatformError as error:
                 await self._back_off(error)
 
@@ -102,7 +103,7 @@
         self._revision = max(self._revision, changes.revision)
 
     async def _first_revision(self):
-        """Return a revision up to which everything is known here; read only if need be."""
+        """Return a revision up to which this node knows all changes; read only if necessary."""
         known = self._reader.operator_revision
         if known is not None and not self._history_lost:
             return known
@@ -111,12 +112,12 @@
         self._history_lost = False
         return read.revision
 
-    async def _back_off(self, error, at_once=False):
+    async def _back_off(self, error, immediately=False):
         if not self._failures:
             self._events.state("watch", "open", str(error), self._client.address)
-            at_once = True
+            immediately = True
         self._failures += 1
-        if at_once:
+        if immediately:
             return
         wait = min(MAX_RETRY_SECONDS, RETRY_SECONDS * 2 ** min(self._failures - 2, 4))
         await asyncio.sleep(wait * random.uniform(0.7, 1.0))
