--- a/caperstack/platform/__init__.py
+++ b/caperstack/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: the only package that knows its names and formats."""
+"""The adapter to the hosting platform; no other package knows its names and formats."""
--- a/caperstack/platform/__main__.py
+++ b/caperstack/platform/__main__.py
@@ -1,4 +1,4 @@
-"""The node on the users' platform: ``python -m caperstack.platform``."""
+"""The command line of a node on the platform: ``python -m caperstack.platform``."""
 
 import argparse
 import asyncio
@@ -21,13 +21,13 @@
 EXIT_BAD_SETTINGS = 2
 STANDARD_OUTPUT = 1
 
-#: How often the start settings are looked at, in seconds; they may change
-#: without a signal.
+#: How often the file of the start settings is checked, in seconds; it may change without a
+#: signal.
 RELOAD_SECONDS = 1.0
 
-#: How long a stopping node stays open to callers and to work for its backend
-#: server, in seconds: the platform asks each second whether it is ready and
-#: sends callers elsewhere after two misses.
+#: How long a stopping node still accepts callers, and calls for its backend server, in
+#: seconds: the platform checks readiness each second and redirects callers after two
+#: failed checks.
 OPEN_SECONDS = 2.6
 
 
@@ -35,14 +35,16 @@
     parser = argparse.ArgumentParser(
         prog="python -m caperstack.platform",
         description=(
-            "Run the load balancer's process beside one backend server of the platform, whose "
-            f"start settings lie where {BOOT_VARIABLE} says. SIGTERM drains it, SIGHUP makes it "
-            "read its settings again."
+            "Run a node of the load balancer beside one backend server of the platform. The "
+            f"environment variable {BOOT_VARIABLE} names the file of its start settings. SIGTERM "
+            "drains the node, SIGHUP makes it read the file again."
         ),
     )
     parser.add_argument("--check", action="store_true", help="validate the settings and exit")
     parser.add_argument(
-        "--metrics-port", type=int, help="port of the counters; by default the range's second"
+        "--metrics-port",
+        type=int,
+        help="port of the metrics; by default the second of the port range",
     )
     parser.add_argument("--version", action="version", version=f"%(prog)s {__version__}")
     return parser
@@ -65,7 +67,7 @@
         return status.st_mtime_ns, status.st_size, status.st_ino
 
     async def run(self):
-        """Look each second, for ever."""
+        """Check the file once per second until cancelled."""
         while True:
             await asyncio.sleep(RELOAD_SECONDS)
             stamp = self._stamp()
@@ -74,7 +76,7 @@
                 self.reload("settings changed")
 
     def reload(self, cause):
-        """Take over what may change while the process runs: the backend server."""
+        """Apply what may change at run time: the backend server's address and service."""
         events = self._kernel.find("events")
         try:
             new = read_boot(self._path).here
--- a/caperstack/platform/assemble.py
+++ b/caperstack/platform/assemble.py
@@ -1,4 +1,4 @@
-"""Put the services of a node on the platform together."""
+"""Creation of the services of a node on the platform."""
 
 from caperstack.admission.owner import Owner
 from caperstack.backend.client import BackendClient
@@ -30,17 +30,26 @@
 
 __all__ = ["assemble"]
 
-#: Events kept in memory beside the log, which tells them all; the last few are
-#: for a look at a node that lives.  3,000 would take 1 MB, and memory is paid for.
+#: The most recent events that are kept in memory, to inspect a running node; the log has all
+#: of them.  3,000 events would take 1 MB, and the platform charges for memory.
 RING_EVENTS = 200
 
 
 def assemble(boot, log):
-    """Return the `Kernel` of a node, its services in the order of starting.
+    """Return the `Kernel` of a node, with its services registered in the order of starting.
 
-    Keepers of idempotency keys, TLS between nodes, the readers of subtrees and
-    of the host list are the product's for other deployments; each attempt has
-    its own id here, and the store tells hosts and routes.
+    Parameters
+    ----------
+    boot : caperstack.platform.boot.Boot
+        The start settings.
+    log : caperstack.events.log.LogWriter
+        The log of the node.
+
+    Notes
+    -----
+    Some services of other deployments are not used on the platform: keepers of idempotency
+    keys, since each attempt has its own id, the readers of settings subtrees and of the
+    host list, since the store holds hosts and routes, and TLS between nodes.
     """
     here = boot.here
     kernel = Kernel()
--- a/caperstack/platform/boot.py
+++ b/caperstack/platform/boot.py
@@ -1,4 +1,4 @@
-"""Start settings as the platform renders them, to the product's own."""
+"""Decoding of the start settings that the platform writes for a node."""
 
 import os
 from dataclasses import dataclass
@@ -14,19 +14,19 @@
 
 __all__ = ["Boot", "ColdBound", "boot_path", "parse_boot", "read_boot"]
 
-#: Slots and connections of a backend server until the store tells its own.
+#: The slots and connections assumed for a backend server until the store has its own.
 INITIAL_SLOTS = 8
 INITIAL_CONNECTIONS = 64
 
-#: Calls at once, as a share of the slots.  The platform's backend servers take
-#: longer when they are nearly full; up to four fifths of the slots they do not.
+#: The concurrency limit as a share of the slots.  The platform's backend servers slow down
+#: when they are nearly full, but not up to four fifths of the slots.
 SLOTS_SHARE = 0.8
 
-#: How much sooner than the platform's kill a stopping node ends, in seconds: a
-#: slowed host needs that long to answer what is open and to stop its services.
+#: How long before the platform kills the process the drain ends, in seconds: a slow host
+#: needs this time to answer the open calls and to stop the node's services.
 KILL_MARGIN_SECONDS = 0.8
 
-#: Where the counters are shown: the peer port is the first of the range.
+#: The offset of the metrics port from the first port of the range, which is the peer port.
 METRICS_PORT_OFFSET = 1
 
 
@@ -50,7 +50,7 @@
     region: str
     listen: _Listen
     ports: list[int] = msgspec.field(name="portRange")
-    # The backend server next to this node, and the service that it belongs to.
+    # The backend server beside this node and its service.
     backend_address: str = msgspec.field(name="appAddress")
     service: str
     store: _Store = msgspec.field(name="platformSettings")
@@ -61,44 +61,44 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdBound:
-    """What a cold backend server may get in a second.
+    """The bound on the request rate of a cold backend server.
 
     Attributes
     ----------
     factor : float
-        Of what the service's servers tolerate.
+        Multiplies the rate that the service's cold servers tolerate.
     slack : float
-        Requests beside that.
+        Additional requests per second.
     """
 
     factor: float = 1.0
     slack: float = 0.0
 
     def per_second(self, tolerated):
-        """Return the most requests in a second; 0 if servers name nothing that they tolerate."""
+        """Return the maximum requests per second; 0 if no tolerated rate is configured."""
         return tolerated * self.factor + self.slack if tolerated > 0 else 0.0
 
 
 @dataclass(slots=True)
 class Boot:
-    """The start settings in the product's terms.
+    """The decoded start settings.
 
     Attributes
     ----------
     here : caperstack.config.here.Here
         This node.
     name : str
-        What the platform calls this host.
+        The name that the platform gives this host.
     ready_address, store_address : str
-        Where the platform asks whether the node is ready, and where its store is.
+        The ``ip:port`` of the readiness check and of the store.
     allowance : caperstack.routing.budgets.FleetAllowance
-        What all nodes may send beyond first tries.
+        The budget, per service, of all nodes together for requests beyond first attempts.
     drain_timeout_seconds : float
-        How long after SIGTERM the process may live.
+        How long the node may drain after SIGTERM.
     cold_bound : ColdBound
-        What a cold backend server may get beyond what it tolerates.
+        The bound on the request rate of a cold backend server.
     heartbeat_seconds : float
-        How often a backend server writes its entry in the store.
+        The interval at which a backend server writes its entry in the store.
     """
 
     here: Here
@@ -117,7 +117,7 @@
     Raises
     ------
     ConfigurationError
-        If the environment does not name it.
+        If the environment variable is not set.
     """
     try:
         return os.environ[BOOT_VARIABLE]
@@ -131,10 +131,9 @@
     Parameters
     ----------
     path : str
-        Of the start settings.
+        The file of the start settings.
     metrics_port : int, optional
-        Where the counters are shown; the second port of the host's range if
-        not given.
+        The port of the metrics; by default the second of the host's port range.
 
     Raises
     ------
@@ -185,7 +184,7 @@
 
 
 def _cold_bound(bounds):
-    # Platforms whose servers are never cold name neither.
+    # Platforms whose servers have no cold phase set neither of the two.
     if "coldOverage" not in bounds and "coldSlack" not in bounds:
         return ColdBound()
     return ColdBound(_number(bounds, "coldOverage"), _number(bounds, "coldSlack"))
@@ -193,8 +192,8 @@
 
 def _here(boot):
     return Here(
-        # A backend server's entry in the store tells the IP of its host and no
-        # name, so the IP is the name by which nodes know each other.
+        # A backend server's entry in the store has the IP of its host but no name, so nodes
+        # identify each other by IP.
         host=boot.ip,
         zone=boot.zone,
         region=boot.region,
--- a/caperstack/platform/durations.py
+++ b/caperstack/platform/durations.py
@@ -1,4 +1,4 @@
-"""Durations as the platform writes them: a number and ``ms`` or ``s``."""
+"""The platform's format of durations: a number and the unit ``ms`` or ``s``."""
 
 from caperstack.exception import ConfigurationError
 
@@ -8,16 +8,23 @@
 
 
 def parse_duration(text, field=""):
-    """Return the seconds in a text such as ``1500ms`` or ``2.5s``.
+    """Return the seconds of a duration such as ``1500ms`` or ``2.5s``.
+
+    Parameters
+    ----------
+    text : str
+        The duration.
+    field : str, optional
+        The field that holds it, for the error message.
 
     Raises
     ------
     ConfigurationError
-        Naming `field`, if it is no such text or below zero.
+        Naming `field`, if `text` is not a duration or is negative.
 
     Examples
     --------
-    >>> seconds_of("1500ms"), seconds_of("2.5s")
+    >>> parse_duration("1500ms"), parse_duration("2.5s")
     (1.5, 2.5)
     """
     for unit, factor in _UNITS:
--- a/caperstack/platform/names.py
+++ b/caperstack/platform/names.py
@@ -1,4 +1,4 @@
-"""Names that the platform puts on the wire, and what they stand for here."""
+"""The keys, paths and headers that the platform defines."""
 
 from caperstack.calls.dialect import Dialect
 
@@ -14,32 +14,32 @@
     "STORE_ERA_HEADER",
 ]
 
-#: The environment variable with the path of the start settings.
+#: The environment variable that holds the path of the start settings.
 BOOT_VARIABLE = "CAPERSTACK_BOOT"
 
-#: The store's key of the newest configuration.
+#: The store key of the current configuration.
 CONFIGURATION_KEY = "op/config"
 
-#: The prefix of all that operators write, and of the marks of evacuated zones in it.
+#: The prefix of all keys that operators write, and of those that mark evacuated zones.
 OPERATOR_PREFIX = "op/"
 EVACUATIONS_PREFIX = "op/evacuate/"
 
 #: The prefix of the keys under which backend servers register.
 SERVERS_PREFIX = "servers/"
 
-#: Where the platform asks whether this node takes requests.
+#: The path of the readiness check.
 READY_PATH = "/v1/ready"
 
-#: The header of the store's answers that counts how often it came back from an older copy.
+#: The header in which the store counts how often it has been restored from an older copy.
 STORE_ERA_HEADER = "Store-Era"
 
-#: The header by which the platform recognises a backend server's own answer.
-#: The node passes it on like any other; only stand-ins set it.
+#: The header by which the platform recognises answers that come from a backend server.  The
+#: node forwards it like any other header; in this code only stand-ins set it.
 SERVER_SEAL_HEADER = "X-Server-Seal"
 
 DIALECT = Dialect(
     request_id="X-Request-Id",
-    # Milliseconds left, not a point in time.
+    # The remaining time in milliseconds, not a point in time.
     time_left="X-Deadline-Ms",
     caller_service="X-Caller-Service",
     target_instance="X-Target-Instance",
--- a/caperstack/platform/ready.py
+++ b/caperstack/platform/ready.py
@@ -1,4 +1,4 @@
-"""Where the platform asks whether this node takes requests."""
+"""The readiness check that the platform calls."""
 
 from caperstack.operators.pages import Page, PagePort
 from caperstack.platform.names import READY_PATH
@@ -7,14 +7,14 @@
 
 
 class ReadyPort:
-    """Answers 200 while the node takes requests, else 503."""
+    """Answers readiness checks: 200 while the node accepts requests, otherwise 503."""
 
     def __init__(self, address):
         self._port = PagePort(address, {READY_PATH: self._page})
         self._last = None
 
     async def start(self, kernel):
-        """Listen."""
+        """Open the port."""
         self._callers = kernel.find("callers")
         self._settings = kernel.find("settings")
         self._events = kernel.find("events")
@@ -25,7 +25,7 @@
         await self._port.close()
 
     def _reason(self):
-        """Return why the node takes no requests, or an empty text."""
+        """Return why the node does not accept requests; empty if it does."""
         if self._callers.draining:
             return "draining"
         return "" if self._settings.known else "no settings yet"
