--- a/caperstack/platform/tests/test_decoding.py
+++ b/caperstack/platform/tests/test_decoding.py
@@ -46,11 +46,11 @@
 class TestDurations(unittest.TestCase):
     """`parse_duration`."""
 
-    def test_both_units(self):
+    def test_milliseconds_and_seconds(self):
         self.assertEqual((parse_duration("1500ms"), parse_duration("2.5s")), (1.5, 2.5))
 
     @given(st.one_of(st.none(), st.integers(), st.text(max_size=8)))
-    def test_anything_else_names_the_field(self, value):
+    def test_invalid_durations_name_the_field(self, value):
         try:
             self.assertGreaterEqual(parse_duration(value, "here"), 0.0)
         except ConfigurationError as error:
@@ -60,7 +60,7 @@
 class TestBoot(unittest.TestCase):
     """`parse_boot`."""
 
-    def test_fields_reach_the_product(self):
+    def test_fields_are_decoded(self):
         boot = parse_boot(json.dumps(BOOT))
         self.assertEqual(boot.here.host, BOOT["ip"])
         self.assertEqual(boot.here.backend.service, "slots")
@@ -104,7 +104,7 @@
     def parse(self, document):
         return StoreCodec().parse(CONFIGURATION_KEY, document)
 
-    def test_route_is_decoded_whole(self):
+    def test_route_fields_are_decoded(self):
         row = route_row("/a/b/", "slots", "non_idempotent", priority=2)
         route = self.parse(configuration(row)).routes[0]
         self.assertEqual((route.host, route.path, route.service), ("x.example", "/a/b/", "slots"))
