--- a/caperstack/platform/tests/test_entries.py
+++ b/caperstack/platform/tests/test_entries.py
@@ -28,14 +28,14 @@
 class TestDecoding(unittest.TestCase):
     """`decode_entry` and `parse_entry`."""
 
-    def test_entry_is_decoded_whole(self):
+    def test_entry_fields_are_decoded(self):
         entry = decoded(server_document())
         host = FLEET.hosts[0]
         self.assertEqual((entry.instance, entry.service), ("i-1", "slots"))
         self.assertEqual((entry.host, entry.zone, entry.slots), (host.ip, host.zone, 8))
         self.assertEqual((entry.leaving, entry.born_ms, entry.created), (False, BORN_MS, 7))
 
-    def test_heartbeat_is_no_change(self):
+    def test_heartbeat_does_not_change_the_entry(self):
         first, second = server_document(), server_document()
         second["status"]["sequence"] = 99
         values = [decode_entry("servers/i", json.dumps(d).encode(), 1) for d in (first, second)]
@@ -46,7 +46,7 @@
         documents = [decode_entry("servers/i", json.dumps(v).encode(), 1) for v in values]
         self.assertNotEqual(*documents)
 
-    def test_servers_that_tell_no_birth_are_taken(self):
+    def test_entries_without_start_time_are_accepted(self):
         document = server_document()
         del document["born"]
         self.assertEqual(decoded(document).born_ms, 0)
@@ -56,7 +56,7 @@
             decoded(document)
         self.assertIn(part, str(caught.exception))
 
-    def test_missing_fields(self):
+    def test_missing_fields_are_foreign(self):
         for name in ("address", "info", "status"):
             document = server_document()
             del document[name]
@@ -70,7 +70,7 @@
                 del document[place][name]
                 self.assert_foreign(document, name)
 
-    def test_fields_of_another_type(self):
+    def test_fields_of_another_type_are_foreign(self):
         cases = {
             "born": (None, "1790000000000", 1.5, 1.79e12, True, 0, -5, 10**30, []),
             "address": (
@@ -90,7 +90,7 @@
             for value in values:
                 self.assert_foreign(server_document(**{name: value}), "")
 
-    def test_slots_state_and_cold_time(self):
+    def test_invalid_slots_state_and_cold_time_are_foreign(self):
         cases = {
             ("info", "slots"): (0, -1, 2.0, "8", True, 10**30, None),
             ("status", "state"): ("dancing", "", None, 1, "READY"),
@@ -103,18 +103,18 @@
                 document[place][name] = value
                 self.assert_foreign(document, "")
 
-    def test_bytes_that_cannot_be_read(self):
+    def test_undecodable_values_are_refused(self):
         for value in (None, b"", b"{", b"\xff\xfe", b"null", b"[" * 100_000, b'{"a":NaN}'):
             with self.assertRaises(ConfigurationError):
                 decode_entry("servers/i", value, 1)
 
-    def test_keys_that_name_no_instance(self):
+    def test_keys_without_a_valid_instance_are_refused(self):
         value = json.dumps(server_document()).encode()
         for key in ("servers/", "servers/a b", "servers/a\r\nX: y", "servers/é", "servers/a/b"):
             with self.assertRaises(ConfigurationError):
                 decode_entry(key, value, 1)
 
-    def test_peers_word_is_checked_too(self):
+    def test_documents_from_peers_are_validated(self):
         for document in ({}, [], None, {"service": "s"}, {"address": 5}):
             with self.assertRaises(ConfigurationError):
                 StoreCodec().parse("servers/i", document)
@@ -123,7 +123,7 @@
 class TestForeignEntries(ReaderCase):
     """What another writer puts into the store names no server, and hurts no other."""
 
-    def test_broken_entry_takes_the_place_of_a_good_one(self):
+    def test_overwritten_entry_is_deleted_until_the_next_heartbeat(self):
         # Another writer overwrites the entry of one server. It is named no more
         # until its next heartbeat; the others hold all the while.
         self.read(valid_entries())
@@ -133,20 +133,20 @@
         self.read(valid_entries())
         self.assertEqual(self.entry("servers/i-1").service, "slots")
 
-    def test_each_is_told_once(self):
+    def test_foreign_entries_are_logged_once(self):
         for _ in range(5):
             self.read(valid_entries() | {"servers/x": None, "servers/y": b"\x00"})
         self.assertEqual([key for key, _ in self.foreign_lines()], ["servers/x", "servers/y"])
         self.assertIn("base64", self.foreign_lines()[0][1])
 
-    def test_entry_without_a_birth_is_foreign_where_others_tell_theirs(self):
+    def test_entry_without_start_time_is_foreign_if_others_have_one(self):
         document = server_document(1)
         del document["born"]
         self.read(valid_entries() | {"servers/x": json.dumps(document).encode()})
         self.assertIsNone(self.entry("servers/x"))
         self.assertEqual(self.foreign_lines(), [("servers/x", "born: missing")])
 
-    def test_one_entry_with_a_birth_makes_no_other_foreign(self):
+    def test_single_entry_with_start_time_makes_no_other_foreign(self):
         documents = {key: json.loads(value) for key, value in valid_entries().items()}
         for document in documents.values():
             del document["born"]
@@ -192,7 +192,7 @@
 
     @settings(max_examples=2500, deadline=None, suppress_health_check=[HealthCheck.too_slow])
     @given(mutations, cuts, keys)
-    def test_whatever_is_written_the_others_hold(self, mutations, cut, name):
+    def test_mutated_entry_does_not_affect_other_entries(self, mutations, cut, name):
         self.reset()
         self.read(valid_entries())
         key = f"servers/{name}"
@@ -202,9 +202,9 @@
             self.assertEqual(self.entry(other).slots, 8)
         entry = self.entry(key)
         if entry is not None:
-            self.assert_true_to(entry, json.loads(value))
+            self.assert_matches_document(entry, json.loads(value))
 
-    def assert_true_to(self, entry, document):
+    def assert_matches_document(self, entry, document):
         self.assertIsInstance(entry, ServerEntry)
         self.assertEqual(entry.address, document["address"])
         self.assertEqual(entry.service, document["info"]["service"])
@@ -233,7 +233,7 @@
     return data if cut is None else data[:cut]
 
 
-class TestBirths(ReaderCase):
+class TestStartTimes(ReaderCase):
     """Which start of a server holds, whoever tells of it."""
 
     def write(self, born, state="ready", number=1):
@@ -241,14 +241,14 @@
         document["status"]["state"] = state
         self.read(valid_entries() | {"servers/i-1": json.dumps(document).encode()})
 
-    def test_new_start_lifts_the_draining_mark(self):
+    def test_new_start_clears_the_draining_state(self):
         self.write(BORN_MS + 5, "draining")
         self.assertTrue(self.entry("servers/i-1").leaving)
         self.write(BORN_MS + 9)
         self.assertFalse(self.entry("servers/i-1").leaving)
         self.assertEqual(self.entry("servers/i-1").born_ms, BORN_MS + 9)
 
-    def test_older_birth_never_wins(self):
+    def test_earlier_start_never_replaces_a_later_one(self):
         # A server has started again. Then a late write of its former run
         # reaches the store, at a higher revision, and a peer repeats it.
         self.write(BORN_MS + 9)
@@ -258,14 +258,14 @@
         self.settings.take("servers/i-1", 10_000, older, "a peer")
         self.assertEqual(self.entry("servers/i-1").born_ms, BORN_MS + 9)
 
-    def test_older_birth_does_not_come_back_after_a_removal(self):
+    def test_earlier_start_is_refused_after_a_deletion(self):
         self.write(BORN_MS + 9)
         self.read({})
         self.assertIsNone(self.entry("servers/i-1"))
         self.write(BORN_MS + 5)
         self.assertIsNone(self.entry("servers/i-1"))
 
-    def test_refusals_are_told_once(self):
+    def test_refusals_are_logged_once(self):
         self.write(BORN_MS + 9)
         for _ in range(5):
             self.write(BORN_MS + 5)
@@ -285,36 +285,36 @@
         items = [StoreItem(key, value, self.revision, 1) for key, value in values.items()]
         self.reader.apply_operator_read(StoreRead(items, self.revision))
 
-    def test_mark_evacuates_a_zone_until_it_is_gone(self):
+    def test_zone_is_evacuated_while_its_mark_exists(self):
         self.read_marks({"op/evacuate/a": b"{}"})
         self.assertEqual(self.settings.evacuated_zones, frozenset("a"))
         self.read_marks({})
         self.assertEqual(self.settings.evacuated_zones, frozenset())
 
-    def test_what_the_mark_holds_says_nothing(self):
+    def test_value_of_the_mark_is_ignored(self):
         for value in (b"", b"\xff", b"[1]", b'{"zone":"b"}', None):
             self.reset()
             self.read_marks({"op/evacuate/a": value})
             self.assertEqual(self.settings.evacuated_zones, frozenset("a"))
 
-    def test_mark_without_a_zone_is_refused_with_a_line(self):
+    def test_mark_without_a_zone_is_refused_and_logged(self):
         self.read_marks({"op/evacuate/": b"{}", "op/evacuate/a": b"{}"})
         self.assertEqual(self.settings.evacuated_zones, frozenset("a"))
         self.assertIn("names no zone", self.events.state.call_args_list[0].args[2])
 
-    def test_old_reading_brings_no_evacuation_back(self):
+    def test_stale_read_does_not_restore_an_ended_evacuation(self):
         """A node that starts reads an old copy and evacuates a zone that is back."""
         self.settings.take("op/evacuate/a", 500, None, "peer")
         self.read_marks({"op/evacuate/a": b"{}"})
         self.assertEqual(self.settings.evacuated_zones, frozenset())
 
-    def test_old_reading_ends_no_evacuation(self):
+    def test_stale_read_does_not_end_an_evacuation(self):
         """A node that starts reads an old copy, and calls into a zone evacuated since."""
         self.settings.take("op/evacuate/a", 500, {}, "peer")
         self.read_marks({})
         self.assertEqual(self.settings.evacuated_zones, frozenset("a"))
 
-    def test_servers_that_are_missing_end_no_evacuation(self):
+    def test_read_without_servers_does_not_end_an_evacuation(self):
         self.read_marks({"op/evacuate/a": b"{}"})
         self.read({})
         self.assertEqual(self.settings.evacuated_zones, frozenset("a"))
