--- a/caperstack/platform/tests/test_restore.py
+++ b/caperstack/platform/tests/test_restore.py
@@ -28,13 +28,13 @@
 SLACK_SECONDS = 1.0
 
 
-def configured(version, revision):
+def configuration_item(version, revision):
     """Return the item of a configuration."""
     value = json.dumps(configuration(version, [], ["s"])).encode()
     return StoreItem(CONFIGURATION_KEY, value, revision, 1)
 
 
-class TestLines(ReaderCase):
+class TestLogLines(ReaderCase):
     """What a node logs when the store goes back."""
 
     def states(self, subject):
@@ -46,29 +46,29 @@
         self.reader._client.read = mock.AsyncMock(return_value=read)
         asyncio.run(self.reader._read(0.0, stale=False))
 
-    def test_reading_at_a_lower_revision_is_told_once(self):
+    def test_read_at_a_lower_revision_is_logged_once(self):
         for revision in (19, 19, 17, 17, 20):
             self.read_at(revision, era=0)
         told = [("unknown", "revision 19"), ("revision 19", "revision 17")]
         self.assertEqual(self.states("store position"), told)
 
-    def test_another_era_is_told_once(self):
+    def test_new_era_is_logged_once(self):
         for revision, era in ((19, 1), (25, 2), (26, 2)):
             self.read_at(revision, era)
         first = "revision 19 of era 1"
         told = [("unknown", first), (first, "revision 25 of era 2")]
         self.assertEqual(self.states("store position"), told)
 
-    def test_configuration_that_is_passed_over_is_told_once(self):
-        self.read_at(19, 0, [configured(19, 19)])
+    def test_ignored_configuration_is_logged_once(self):
+        self.read_at(19, 0, [configuration_item(19, 19)])
         for version in (16, 16, 17, 19):
-            self.read_at(20, 0, [configured(version, 20)])
+            self.read_at(20, 0, [configuration_item(version, 20)])
         calls = self.events.belief.call_args_list
         told = [c.kwargs["version"] for c in calls if c.args[0] == "passed over"]
         self.assertEqual(told, [16, 17])
 
 
-class TestOrder(ReaderCase):
+class TestConfigurationOrder(ReaderCase):
     """Which configuration is in force, whatever its revision."""
 
     def assert_in_force(self, version, *offered):
@@ -76,20 +76,20 @@
             self.reader.apply_change(item)
         self.assertEqual(self.settings.get(CONFIGURATION_KEY).parsed.version, version)
 
-    def test_higher_version_at_a_lower_or_equal_revision(self):
+    def test_higher_version_at_a_lower_or_equal_revision_is_applied(self):
         """A revision is given out again, and the change that lies at it is passed over."""
-        self.assert_in_force(19, configured(19, 19))
-        self.assert_in_force(23, configured(23, 16))
-        self.assert_in_force(26, configured(26, 16))
+        self.assert_in_force(19, configuration_item(19, 19))
+        self.assert_in_force(23, configuration_item(23, 16))
+        self.assert_in_force(26, configuration_item(26, 16))
 
-    def test_lower_version_at_a_higher_revision(self):
+    def test_lower_version_at_a_higher_revision_is_ignored(self):
         """A configuration that was replaced is written again, and nodes step back to it."""
-        self.assert_in_force(19, configured(19, 19), configured(16, 25))
+        self.assert_in_force(19, configuration_item(19, 19), configuration_item(16, 25))
 
-    def test_peer_with_a_higher_version_is_followed(self):
-        self.assert_in_force(19, configured(19, 19))
+    def test_higher_version_from_a_peer_is_applied(self):
+        self.assert_in_force(19, configuration_item(19, 19))
         self.settings.take(CONFIGURATION_KEY, 23, configuration(23, [], ["s"]), "peer")
-        self.assert_in_force(23, configured(19, 30))
+        self.assert_in_force(23, configuration_item(19, 30))
 
 
 class TestEntries(ReaderCase):
@@ -125,13 +125,13 @@
     def held(self):
         return self.entry(self.KEY)
 
-    def test_server_that_begins_to_leave_at_a_lower_revision(self):
+    def test_draining_state_at_a_lower_revision_is_applied(self):
         """A leaving mark lies at a revision that was seen before, and calls go on."""
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(1, 18, self.entry_at(1, 18, "draining"))
         self.assertTrue(self.held.leaving)
 
-    def test_server_that_goes_at_a_lower_revision(self):
+    def test_deletion_at_a_lower_revision_is_applied(self):
         """An entry is taken away at a revision that was seen before, and calls go on."""
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(1, 16, self.entry_at(1, 15))
@@ -139,12 +139,12 @@
         self.read_at(1, 18)
         self.assertIsNone(self.held)
 
-    def test_server_that_starts_again_at_a_lower_revision(self):
+    def test_new_start_at_a_lower_revision_is_applied(self):
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(1, 18, self.entry_at(1, 18, born=BORN_MS + 9))
         self.assertEqual(self.held.born_ms, BORN_MS + 9)
 
-    def test_server_that_the_copy_lacks_is_called_on(self):
+    def test_server_missing_from_the_copy_is_kept_for_a_while(self):
         """A server came after the copy was made, and gets no calls until it has written again."""
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(1, 16)
@@ -155,7 +155,7 @@
         self.read_at(1, 16)
         self.assertIsNone(self.held)
 
-    def test_reader_that_was_told_of_the_restore_believes_what_is_missing(self):
+    def test_reader_that_knows_of_the_restore_deletes_missing_servers(self):
         """A node reads long after the restore, and keeps a server that has just gone."""
         self.read_at(0, 20, self.entry_at(0, 20))
         self.reader._restores.note_era(1, self.clock.return_value)
@@ -163,20 +163,20 @@
         self.read_at(1, 18)
         self.assertIsNone(self.held)
 
-    def test_node_that_starts_takes_nothing_for_gone_at_once(self):
+    def test_starting_node_does_not_delete_missing_servers_at_once(self):
         """A node starts beside the copy, and tells all that a server which it lacks is gone."""
         document = decode_entry(self.KEY, self.entry_at(0, 20).value, 4)
         self.settings.take(self.KEY, revision_in(0, 20), document, "peer")
         self.read_at(1, 16)
         self.assertIsNotNone(self.held)
 
-    def test_node_that_starts_long_after_a_restore_believes_what_is_missing(self):
+    def test_node_started_long_after_a_restore_deletes_missing_servers(self):
         self.reader._restores.note_era(1, self.clock.return_value - 60.0)
         self.read_at(1, 18, self.entry_at(1, 18))
         self.read_at(1, 19)
         self.assertIsNone(self.held)
 
-    def test_server_that_went_and_came_in_one_era_is_called_at_once(self):
+    def test_server_listed_again_in_the_same_era_is_accepted_at_once(self):
         """A server that was missing writes again, and gets no calls for seconds."""
         self.read_at(1, 16, self.entry_at(1, 16))
         self.wait(3.0)
@@ -185,13 +185,13 @@
         self.read_at(1, 18, self.entry_at(1, 18))
         self.assertIsNotNone(self.held)
 
-    def test_copy_lifts_no_leaving_mark(self):
+    def test_copy_does_not_clear_the_draining_state(self):
         """The copy shows a server before it began to leave, and calls go there again."""
         self.read_at(0, 20, self.entry_at(0, 20, "draining"))
         self.read_at(1, 16, self.entry_at(1, 15))
         self.assertTrue(self.held.leaving)
 
-    def test_copy_brings_no_server_back(self):
+    def test_copy_does_not_restore_a_server_that_left(self):
         """The copy shows a server that has left since, and calls go there."""
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(0, 21)
@@ -200,7 +200,7 @@
         self.read_at(1, 16, self.entry_at(1, 15))
         self.assertIsNone(self.held)
 
-    def test_peer_that_has_just_started_lifts_no_leaving_mark(self):
+    def test_started_peer_does_not_clear_the_draining_state(self):
         """A node starts, reads the copy, and tells its peers that a leaving server is ready."""
         self.read_at(0, 20, self.entry_at(0, 20, "draining"))
         document = decode_entry(self.KEY, self.entry_at(1, 15).value, revision_in(1, 4))
@@ -209,14 +209,14 @@
         self.wait(8.0)
         self.assertTrue(self.settings.take(self.KEY, revision_in(1, 15), document, "peer"))
 
-    def test_peer_that_has_just_started_brings_no_server_back(self):
+    def test_started_peer_does_not_restore_a_server_that_left(self):
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(0, 21)
         document = decode_entry(self.KEY, self.entry_at(1, 15).value, revision_in(1, 4))
         self.assertFalse(self.settings.take(self.KEY, revision_in(1, 15), document, "peer"))
         self.assertIsNone(self.held)
 
-    def test_server_that_stays_listed_after_a_restore_is_called_again(self):
+    def test_server_still_listed_long_after_a_restore_is_accepted(self):
         """An entry lapsed in the outage, and its living server gets no calls for good."""
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(0, 21)
@@ -225,37 +225,37 @@
         self.read_at(1, 17, self.entry_at(1, 15))
         self.assertIsNotNone(self.held)
 
-    def test_new_start_is_taken_at_once(self):
+    def test_new_start_of_a_draining_server_is_accepted_at_once(self):
         self.read_at(0, 20, self.entry_at(0, 20, "draining"))
         self.read_at(1, 16, self.entry_at(1, 15, born=BORN_MS + 9))
         self.assertFalse(self.held.leaving)
 
-    def test_new_start_of_a_server_that_was_gone_is_taken_at_once(self):
+    def test_new_start_of_a_deleted_server_is_accepted_at_once(self):
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(0, 21)
         self.read_at(1, 16, self.entry_at(1, 15, born=BORN_MS + 9))
         self.assertIsNotNone(self.held)
 
-    def test_unchanged_entry_is_no_news(self):
+    def test_unchanged_entry_keeps_its_revision(self):
         """A restore makes each node take and tell all entries anew."""
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(1, 16, self.entry_at(1, 15))
         self.assertEqual(self.settings.get(self.KEY).revision, 20)
 
-    def test_of_two_servers_at_an_address_the_one_created_later_holds_it(self):
+    def test_later_created_of_two_servers_at_an_address_is_current(self):
         """The revision of a creation is given out again, and the later server looks older."""
         former = ServerEntry("a", "s", "10.0.0.1:1", "10.0.0.1", "a", 8, False, 20)
         later = replace(former, instance="b", created=revision_in(1, 16))
         self.assertGreater(later.order, former.order)
 
-    def test_evacuation_at_a_lower_revision(self):
+    def test_evacuation_at_a_lower_revision_is_applied(self):
         """A zone was evacuated before, and its next evacuation is passed over."""
         self.read_at(0, 19, self.mark_at(0, 19))
         self.read_at(0, 20)
         self.read_at(1, 18, self.mark_at(1, 18))
         self.assertEqual(self.settings.evacuated_zones, frozenset("a"))
 
-    def test_end_of_an_evacuation_at_a_lower_revision(self):
+    def test_end_of_an_evacuation_at_a_lower_revision_is_applied(self):
         """A zone is taken back at a revision that was seen before, and gets no calls for good."""
         self.read_at(0, 20, self.mark_at(0, 20))
         self.read_at(1, 16, self.mark_at(1, 16))
@@ -263,7 +263,7 @@
         self.read_at(1, 18)
         self.assertEqual(self.settings.evacuated_zones, frozenset())
 
-    def test_mark_that_the_copy_lacks_holds_until_it_can_be_written_again(self):
+    def test_mark_missing_from_the_copy_is_kept_until_it_can_be_rewritten(self):
         """A zone was evacuated after the copy was made, and calls go there again."""
         self.read_at(0, 20, self.mark_at(0, 20))
         self.read_at(1, 16)
@@ -272,7 +272,7 @@
         self.read_at(1, 16)
         self.assertEqual(self.settings.evacuated_zones, frozenset())
 
-    def test_peers_word_from_before_the_restore_is_older(self):
+    def test_entry_of_an_earlier_era_from_a_peer_is_refused(self):
         """A peer that slept tells of an entry from before the restore, at a higher number."""
         self.read_at(1, 18, self.entry_at(1, 18, "draining"))
         document = decode_entry(self.KEY, self.entry_at(0, 25).value, 4)
@@ -280,7 +280,7 @@
         self.assertTrue(self.held.leaving)
 
 
-class TestClient(unittest.IsolatedAsyncioTestCase):
+class TestStoreClient(unittest.IsolatedAsyncioTestCase):
     """`StoreClient` beside a store that comes back from a copy."""
 
     async def asyncSetUp(self):
@@ -291,7 +291,7 @@
         self.client = StoreClient(address, mock.Mock())
         self.addCleanup(self.client.close)
 
-    async def test_revisions_are_in_order_over_a_restore(self):
+    async def test_revisions_increase_across_a_restore(self):
         copy = self.store.copy()
         for _ in range(3):
             self.store.put("a", 1)
@@ -303,7 +303,7 @@
         self.assertGreater(after.items[0].revision, before.items[0].revision)
         self.assertGreater(after.items[0].created, before.items[0].created)
 
-    async def test_watch_does_not_go_on_where_revisions_are_given_out_again(self):
+    async def test_watch_fails_after_a_restore(self):
         """The store has the watch's revision again, and changes below it are never told."""
         copy = self.store.copy()
         self.store.put("a", 1)
@@ -314,7 +314,7 @@
         with self.assertRaises(HistoryError):
             await self.client.watch("a", revision, deadline_after(1.0))
 
-    async def test_era_that_cannot_be_read_fails_the_reading(self):
+    async def test_read_with_an_invalid_era_fails(self):
         """An era taken for 0 would make all that is held newer than all that is read."""
         for era in ("", "-1", "1.5", "two", "²", 1 << 22):
             self.store.era = era
@@ -322,7 +322,7 @@
                 await self.client.read("")
             self.assertIn("Store-Era", str(caught.exception))
 
-    async def test_pages_of_two_eras_are_no_reading(self):
+    async def test_read_with_pages_of_two_eras_fails(self):
         """What the copy lacks on the second page is taken for gone."""
         for key in "abc":
             self.store.put(key, 1)
@@ -356,7 +356,7 @@
         for host in self.fleet.hosts:
             await self.fleet.until(self.serves(host, path), f"{path} at {host.ip}", limit - now())
 
-    async def test_change_after_the_restore_is_in_force_in_time(self):
+    async def test_change_after_a_restore_takes_effect_in_time(self):
         """Revisions are given out again, and nodes pass over the next configurations."""
         copy = self.fleet.store.copy()
         await self.add_route("/one/")
@@ -367,7 +367,7 @@
         await self.add_route("/three/")
         await self.add_route("/four/")
 
-    async def test_change_that_was_lost_stays_in_force(self):
+    async def test_change_lost_by_the_store_stays_in_effect(self):
         """The copy holds an older configuration, and nodes step back to it."""
         copy = self.fleet.store.copy()
         await self.add_route("/one/")
@@ -378,7 +378,7 @@
                 self.assertEqual((await self.fleet.ask(host, "/one/"))[1].code, 200)
             await asyncio.sleep(0.1)
 
-    async def test_node_that_starts_beside_the_copy_learns_what_was_lost(self):
+    async def test_starting_node_learns_lost_changes_from_peers(self):
         """A node starts, reads the copy, and serves an older configuration than its peers."""
         copy = self.fleet.store.copy()
         await self.add_route("/one/")
@@ -391,7 +391,7 @@
             await asyncio.sleep(0.1)
 
 
-async def _seconds_after_a_restore(size, rests):
+async def _propagation_seconds_after_restore(size, rests):
     """Return how long each of several versions takes to be known at all nodes."""
     random.seed(size)
     fleet = GrowthFleet(size)
@@ -413,7 +413,7 @@
     return seconds
 
 
-async def _seconds_to_know_who_leaves(size):
+async def _draining_propagation_seconds(size):
     """Return how long after a restore a leaving mark takes, beside a node that starts."""
     random.seed(size)
     fleet = GrowthFleet(size)
@@ -433,12 +433,12 @@
     await fleet.start_node(started)
     await asyncio.sleep(3.0)
     fleet.register(*place, state="draining")
-    seconds = await _until_all(fleet, lambda node: _leaves(node, place[0]))
+    seconds = await _until_all(fleet, lambda node: _is_draining(node, place[0]))
     await fleet.stop()
     return seconds
 
 
-def _leaves(node, host):
+def _is_draining(node, host):
     member = node.members.find(host)
     return member is not None and member.leaving
 
@@ -449,7 +449,7 @@
     return min(nodes, key=lambda node: node.reader._topology.rank)
 
 
-async def _seconds_without_a_server(size):
+async def _seconds_server_is_missing(size):
     """Return how long others missed a server that came after the copy was made.
 
     The node that reads first in order starts as the store is back, and the server
@@ -479,7 +479,7 @@
     return missed
 
 
-async def _seconds_to_know_who_left(size):
+async def _deletion_propagation_seconds(size):
     """Return how long the end of an entry takes that goes five seconds after a restore."""
     random.seed(size)
     fleet = GrowthFleet(size)
@@ -518,31 +518,33 @@
     return now() - begun
 
 
-class TestSpread(unittest.TestCase):
+class TestPropagation(unittest.TestCase):
     """How soon nodes know configurations after a restore, in virtual time."""
 
-    def test_versions_at_lower_and_equal_revisions_are_known_in_time(self):
+    def test_versions_at_lower_and_equal_revisions_reach_all_nodes_in_time(self):
         """Nodes pass over what lies at revisions that they have seen, at once and later."""
         for size in (12, 195):
-            seconds = run_virtual(lambda n=size: _seconds_after_a_restore(n, (0.0, 0.0, 6.0)))
+            seconds = run_virtual(
+                lambda n=size: _propagation_seconds_after_restore(n, (0.0, 0.0, 6.0))
+            )
             self.assertLessEqual(max(seconds), IN_FORCE_SECONDS, (size, seconds))
 
-    def test_server_that_leaves_after_a_restore_is_known_in_time(self):
+    def test_draining_state_after_a_restore_reaches_all_nodes_in_time(self):
         """Its mark lies at a revision that all have seen, and peers pass each other's word over."""
         for size in (12, 195):
-            seconds = run_virtual(lambda n=size: _seconds_to_know_who_leaves(n))
+            seconds = run_virtual(lambda n=size: _draining_propagation_seconds(n))
             self.assertLessEqual(seconds, IN_FORCE_SECONDS, size)
 
-    def test_server_that_came_after_the_copy_is_kept_by_all(self):
+    def test_server_missing_from_the_copy_is_kept_by_all_nodes(self):
         """A node that starts reads the copy, and tells all that a living server is gone."""
         for size in (12, 195):
-            seconds = run_virtual(lambda n=size: _seconds_without_a_server(n))
+            seconds = run_virtual(lambda n=size: _seconds_server_is_missing(n))
             self.assertLess(seconds, 0.1, size)
 
-    def test_end_of_a_server_after_a_restore_is_known_in_time(self):
+    def test_deletion_after_a_restore_reaches_all_nodes_in_time(self):
         """Each node waits anew when it reads for the first time, and calls go on to who left."""
         for size in (12, 195):
-            seconds = run_virtual(lambda n=size: _seconds_to_know_who_left(n))
+            seconds = run_virtual(lambda n=size: _deletion_propagation_seconds(n))
             self.assertLessEqual(seconds, IN_FORCE_SECONDS, size)
 
 
