--- a/caperstack/platform/tests/test_watch.py
+++ b/caperstack/platform/tests/test_watch.py
@@ -73,7 +73,7 @@
         self.store.remove("op/evacuate/a")
         await self.until(lambda: not self.settings.evacuated_zones, 0.5)
 
-    async def test_watch_goes_on_after_its_history_is_dropped(self):
+    async def test_watch_continues_after_its_history_is_dropped(self):
         """The store drops its history with a change in the gap, and the watch never hears of it."""
         self.troubles.cut = True
         self.store.put(KEY, configuration(2, [], ["s"]))
@@ -83,7 +83,7 @@
         self.store.put(KEY, configuration(3, [], ["s"]))
         await self.until(lambda: self.version == 3)
 
-    async def test_store_that_turns_away_is_not_asked_without_end(self):
+    async def test_watch_backs_off_from_a_refusing_store(self):
         """The store answers 503 at once, and the watch asks thousands of times a second."""
         self.troubles.status = 503
         self.store.drop_history()
@@ -92,7 +92,7 @@
         await asyncio.sleep(2.0)
         self.assertLessEqual(self.store.calls - before, 5)
 
-    async def test_what_was_read_already_is_not_read_again(self):
+    async def test_watch_starts_at_the_last_read_revision(self):
         """Each node that begins to watch reads first, beside the readings in turn."""
         await self.watch.stop()
         self.reader._operator_revision = (await self.client.read("op/")).revision
@@ -104,7 +104,7 @@
             await self.until(lambda: self.version == 2, 0.5)
         calls.assert_not_awaited()
 
-    async def test_lost_history_is_not_looked_for_at_the_last_reading(self):
+    async def test_lost_history_is_not_resumed_at_the_last_read(self):
         """The last reading is older than the kept history: the watch fails twice and rests."""
         self.store.put("other", {})
         self.reader._operator_revision = (await self.client.read("op/")).revision
@@ -114,7 +114,7 @@
             self.store.drop_history()
             await self.until(lambda: calls.await_count, 0.25)
 
-    async def test_history_that_an_outage_has_cost_is_read_at_once(self):
+    async def test_history_lost_in_an_outage_is_replaced_by_a_read_at_once(self):
         """The store is back without the history, and the watch rests for seconds more."""
         moments = []
 
@@ -141,7 +141,7 @@
         await self.until(lambda: len(moments) > 1)
         self.assertLess(moments[1] - moments[0], 0.25)
 
-    async def test_history_that_is_lost_again_and_again_is_not_read_without_end(self):
+    async def test_repeated_history_loss_does_not_cause_a_read_loop(self):
         """The store drops its history at each reading, and is read thousands of times a second."""
         self.client.watch = mock.AsyncMock(side_effect=HistoryError("gone"))
         self.store.put(KEY, configuration(2, [], ["s"]))
@@ -150,7 +150,7 @@
         await asyncio.sleep(2.0)
         self.assertLessEqual(self.store.calls - before, 4)
 
-    async def test_empty_answer_before_its_time_is_a_failure(self):
+    async def test_early_empty_answer_is_a_failure(self):
         calls = []
 
         async def answer(_prefix, after, _wait_until):
@@ -162,7 +162,7 @@
             await asyncio.sleep(2.0)
         self.assertLessEqual(len(calls), 5)
 
-    async def test_lost_history_is_told_apart(self):
+    async def test_lost_history_raises_its_own_error(self):
         self.store.put(KEY, configuration(2, [], ["s"]))
         self.store.drop_history()
         with self.assertRaises(HistoryError):
