--- a/caperstack/platform/tests/readercase.py
+++ b/caperstack/platform/tests/readercase.py
@@ -1,4 +1,4 @@
-"""A reader of the store that is handed readings, for tests without a network."""
+"""A base class for tests that feed reads to a store reader without a network."""
 
 import unittest
 from unittest import mock
@@ -12,20 +12,20 @@
 
 __all__ = ["BORN_MS", "FLEET", "ReaderCase", "server_document"]
 
-#: The hosts whose entries are read; no process runs there.
+#: The hosts whose entries are read; no process runs on them.
 FLEET = PlatformFleet(["slots", "slots", "rates"], [])
 
 BORN_MS = 1_790_000_000_000
 
 
 def server_document(number=0, **changes):
-    """Return what the server of that host writes; `changes` are of its top level."""
+    """Return the document that the server of a host writes, with `changes` at its top level."""
     host = FLEET.hosts[number]
     return host.instance.entry(host.zone) | {"born": BORN_MS + number} | changes
 
 
 class ReaderCase(unittest.TestCase):
-    """A `StoreReader` that is handed readings, and the settings that it fills."""
+    """A test case with a `StoreReader` without a client and the settings that it fills."""
 
     def setUp(self):
         self.reset()
@@ -43,13 +43,13 @@
         self.revision = 10
 
     def read(self, values):
-        """Take a reading of `values`, bytes by key, each written since the last one."""
+        """Apply a read of `values`, bytes by key, all written since the previous read."""
         self.revision += 10
         items = [StoreItem(key, value, self.revision, 1) for key, value in values.items()]
         self.reader._apply_servers(StoreRead(items, self.revision))
 
     def entry(self, key):
-        """Return the `ServerEntry` held under that key, or ``None``."""
+        """Return the `ServerEntry` in the settings under `key`, or ``None``."""
         held = self.settings.get(key)
         return None if held is None else held.parsed
 
--- a/caperstack/platform/tests/test_decoding.py
+++ b/caperstack/platform/tests/test_decoding.py
@@ -1,4 +1,4 @@
-"""Start settings, configuration and entries: decoded whole, or refused by name."""
+"""Start settings and configuration: valid ones are decoded, errors name the bad field."""
 
 import contextlib
 import io
@@ -24,7 +24,7 @@
 
 
 def configuration(*rows, **changes):
-    """Return a configuration's document with these routes."""
+    """Return the document of a configuration with the routes `rows`."""
     columns = "name authority prefix kind timeout targetLatency priority service"
     return {
         "version": 3,
@@ -38,7 +38,7 @@
 
 
 def service_rows(cold, rate):
-    """Return the services of a configuration, with what a cold server of the one tolerates."""
+    """Return the services of a configuration: one, with the time and rate of its cold servers."""
     columns = ["name", "healthPath", "maxConnections", "cold", "coldPerS"]
     return {"columns": columns, "rows": [["slots", "/h", 260, cold, rate]]}
 
--- a/caperstack/platform/tests/test_entries.py
+++ b/caperstack/platform/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Entries of backend servers: taken whole, or foreign; and which start of a server holds."""
+"""Entries of backend servers: validation, foreign entries and the order of a server's starts."""
 
 import copy
 import json
@@ -16,12 +16,12 @@
 
 
 def decoded(document, key="servers/i-1"):
-    """Return the `ServerEntry` of a document as the store holds it."""
+    """Return the `ServerEntry` for a document stored under `key`."""
     return StoreCodec().parse(key, decode_entry(key, json.dumps(document).encode(), 7))
 
 
 def valid_entries():
-    """Return three good entries as the store holds them, by key."""
+    """Return the stored bytes of three valid entries, by key."""
     return {f"servers/i-{n}": json.dumps(server_document(n)).encode() for n in range(3)}
 
 
@@ -121,11 +121,11 @@
 
 
 class TestForeignEntries(ReaderCase):
-    """What another writer puts into the store names no server, and hurts no other."""
+    """Entries of other writers add no server and do not affect the entries of others."""
 
     def test_overwritten_entry_is_deleted_until_the_next_heartbeat(self):
-        # Another writer overwrites the entry of one server. It is named no more
-        # until its next heartbeat; the others hold all the while.
+        # Another writer overwrites the entry of one server; the entries of the others must
+        # not be affected.
         self.read(valid_entries())
         self.read(valid_entries() | {"servers/i-1": b'{"state":"ready"}'})
         self.assertIsNone(self.entry("servers/i-1"))
@@ -234,7 +234,7 @@
 
 
 class TestStartTimes(ReaderCase):
-    """Which start of a server holds, whoever tells of it."""
+    """The latest start of a server is current, whether the store or a peer reports it."""
 
     def write(self, born, state="ready", number=1):
         document = server_document(number, born=born)
@@ -249,8 +249,8 @@
         self.assertEqual(self.entry("servers/i-1").born_ms, BORN_MS + 9)
 
     def test_earlier_start_never_replaces_a_later_one(self):
-        # A server has started again. Then a late write of its former run
-        # reaches the store, at a higher revision, and a peer repeats it.
+        # A late write of a server's former run reaches the store after its restart, at a
+        # higher revision, and a peer passes it on.
         self.write(BORN_MS + 9)
         self.write(BORN_MS + 5, "draining")
         self.assertEqual(self.entry("servers/i-1").born_ms, BORN_MS + 9)
@@ -269,8 +269,8 @@
         self.write(BORN_MS + 9)
         for _ in range(5):
             self.write(BORN_MS + 5)
-        told = [c for c in self.events.state.call_args_list if "older than" in str(c)]
-        self.assertEqual(len(told), 1)
+        logged = [c for c in self.events.state.call_args_list if "older than" in str(c)]
+        self.assertEqual(len(logged), 1)
 
 
 if __name__ == "__main__":
@@ -278,7 +278,7 @@
 
 
 class TestEvacuations(ReaderCase):
-    """Marks of evacuated zones, as the store holds them."""
+    """Marks of evacuated zones in the store."""
 
     def read_marks(self, values, advance=10):
         self.revision += advance
@@ -303,13 +303,13 @@
         self.assertIn("names no zone", self.events.state.call_args_list[0].args[2])
 
     def test_stale_read_does_not_restore_an_ended_evacuation(self):
-        """A node that starts reads an old copy and evacuates a zone that is back."""
+        """A starting node must not evacuate a zone because of an outdated read."""
         self.settings.take("op/evacuate/a", 500, None, "peer")
         self.read_marks({"op/evacuate/a": b"{}"})
         self.assertEqual(self.settings.evacuated_zones, frozenset())
 
     def test_stale_read_does_not_end_an_evacuation(self):
-        """A node that starts reads an old copy, and calls into a zone evacuated since."""
+        """A starting node must not send calls to an evacuated zone because of an outdated read."""
         self.settings.take("op/evacuate/a", 500, {}, "peer")
         self.read_marks({})
         self.assertEqual(self.settings.evacuated_zones, frozenset("a"))
--- a/caperstack/platform/tests/test_watch.py
+++ b/caperstack/platform/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""The waiting watch on the operator's keys, against the stand-in of the store."""
+"""The long-poll watch on the operators' keys, against the stand-in of the store."""
 
 import asyncio
 import unittest
@@ -21,7 +21,7 @@
 
 
 class TestOperatorWatch(unittest.IsolatedAsyncioTestCase):
-    """`OperatorWatch` beside a store that is changed, cut and compacted."""
+    """`OperatorWatch` with a store that changes, becomes unreachable and drops its history."""
 
     async def asyncSetUp(self):
         address = free_addresses(1)[0]
@@ -74,7 +74,7 @@
         await self.until(lambda: not self.settings.evacuated_zones, 0.5)
 
     async def test_watch_continues_after_its_history_is_dropped(self):
-        """The store drops its history with a change in the gap, and the watch never hears of it."""
+        """A change that was dropped from the history with the outage must still be noticed."""
         self.troubles.cut = True
         self.store.put(KEY, configuration(2, [], ["s"]))
         self.store.drop_history()
@@ -84,7 +84,10 @@
         await self.until(lambda: self.version == 3)
 
     async def test_watch_backs_off_from_a_refusing_store(self):
-        """The store answers 503 at once, and the watch asks thousands of times a second."""
+        """With a store that answers 503 at once, the watch must not loop without a delay.
+
+        It would make thousands of calls per second.
+        """
         self.troubles.status = 503
         self.store.drop_history()
         await asyncio.sleep(0.1)
@@ -93,7 +96,7 @@
         self.assertLessEqual(self.store.calls - before, 5)
 
     async def test_watch_starts_at_the_last_read_revision(self):
-        """Each node that begins to watch reads first, beside the readings in turn."""
+        """Starting a watch must not cost a read in addition to the periodic ones."""
         await self.watch.stop()
         self.reader._operator_revision = (await self.client.read("op/")).revision
         calls = mock.AsyncMock(side_effect=PlatformError("no", step="read", peer="store"))
@@ -105,7 +108,10 @@
         calls.assert_not_awaited()
 
     async def test_lost_history_is_not_resumed_at_the_last_read(self):
-        """The last reading is older than the kept history: the watch fails twice and rests."""
+        """The last read may be older than the history that the store keeps.
+
+        A watch from there would fail a second time and back off.
+        """
         self.store.put("other", {})
         self.reader._operator_revision = (await self.client.read("op/")).revision
         self.store.put("other", {})
@@ -115,7 +121,7 @@
             await self.until(lambda: calls.await_count, 0.25)
 
     async def test_history_lost_in_an_outage_is_replaced_by_a_read_at_once(self):
-        """The store is back without the history, and the watch rests for seconds more."""
+        """After an outage that lost the history, the watch must not back off for seconds."""
         moments = []
 
         async def watch_and_note(*arguments):
@@ -142,7 +148,7 @@
         self.assertLess(moments[1] - moments[0], 0.25)
 
     async def test_repeated_history_loss_does_not_cause_a_read_loop(self):
-        """The store drops its history at each reading, and is read thousands of times a second."""
+        """A store that keeps no history must not be read thousands of times per second."""
         self.client.watch = mock.AsyncMock(side_effect=HistoryError("gone"))
         self.store.put(KEY, configuration(2, [], ["s"]))
         await self.until(lambda: self.version == 2)
