--- a/caperstack/platform/tests/test_restore.py
+++ b/caperstack/platform/tests/test_restore.py
@@ -1,4 +1,4 @@
-"""A store that comes back from an older copy: what nodes take, and what they tell of it."""
+"""Nodes after the store has been restored from an older copy: what they apply and log."""
 
 import asyncio
 import json
@@ -21,21 +21,21 @@
 from caperstack.play.virtual import run_virtual
 from caperstack.settings.revisions import revision_in
 
-#: How soon after its acknowledgement a configuration is in force, in seconds.
+#: How soon after its acknowledgement a configuration must take effect, in seconds.
 IN_FORCE_SECONDS = 2.0
 
-#: What real processes on a busy machine may take beside that, in seconds.
+#: The extra time that real processes on a busy machine may take, in seconds.
 SLACK_SECONDS = 1.0
 
 
 def configuration_item(version, revision):
-    """Return the item of a configuration."""
+    """Return the store's item of a configuration."""
     value = json.dumps(configuration(version, [], ["s"])).encode()
     return StoreItem(CONFIGURATION_KEY, value, revision, 1)
 
 
 class TestLogLines(ReaderCase):
-    """What a node logs when the store goes back."""
+    """The log lines of a node when the store's revision decreases or its era changes."""
 
     def states(self, subject):
         calls = self.events.state.call_args_list
@@ -49,27 +49,27 @@
     def test_read_at_a_lower_revision_is_logged_once(self):
         for revision in (19, 19, 17, 17, 20):
             self.read_at(revision, era=0)
-        told = [("unknown", "revision 19"), ("revision 19", "revision 17")]
-        self.assertEqual(self.states("store position"), told)
+        expected = [("unknown", "revision 19"), ("revision 19", "revision 17")]
+        self.assertEqual(self.states("store position"), expected)
 
     def test_new_era_is_logged_once(self):
         for revision, era in ((19, 1), (25, 2), (26, 2)):
             self.read_at(revision, era)
         first = "revision 19 of era 1"
-        told = [("unknown", first), (first, "revision 25 of era 2")]
-        self.assertEqual(self.states("store position"), told)
+        expected = [("unknown", first), (first, "revision 25 of era 2")]
+        self.assertEqual(self.states("store position"), expected)
 
     def test_ignored_configuration_is_logged_once(self):
         self.read_at(19, 0, [configuration_item(19, 19)])
         for version in (16, 16, 17, 19):
             self.read_at(20, 0, [configuration_item(version, 20)])
         calls = self.events.belief.call_args_list
-        told = [c.kwargs["version"] for c in calls if c.args[0] == "passed over"]
-        self.assertEqual(told, [16, 17])
+        logged = [c.kwargs["version"] for c in calls if c.args[0] == "passed over"]
+        self.assertEqual(logged, [16, 17])
 
 
 class TestConfigurationOrder(ReaderCase):
-    """Which configuration is in force, whatever its revision."""
+    """The configuration with the highest version is in effect, whatever its revision."""
 
     def assert_in_force(self, version, *offered):
         for item in offered:
@@ -77,13 +77,13 @@
         self.assertEqual(self.settings.get(CONFIGURATION_KEY).parsed.version, version)
 
     def test_higher_version_at_a_lower_or_equal_revision_is_applied(self):
-        """A revision is given out again, and the change that lies at it is passed over."""
+        """A change at a revision that the store assigned before must not be ignored."""
         self.assert_in_force(19, configuration_item(19, 19))
         self.assert_in_force(23, configuration_item(23, 16))
         self.assert_in_force(26, configuration_item(26, 16))
 
     def test_lower_version_at_a_higher_revision_is_ignored(self):
-        """A configuration that was replaced is written again, and nodes step back to it."""
+        """Nodes must not return to a replaced configuration that is written again."""
         self.assert_in_force(19, configuration_item(19, 19), configuration_item(16, 25))
 
     def test_higher_version_from_a_peer_is_applied(self):
@@ -93,7 +93,7 @@
 
 
 class TestEntries(ReaderCase):
-    """Entries of backend servers, and marks, after a restore to a lower revision."""
+    """Server entries and evacuation marks after a restore to a lower revision."""
 
     KEY = "servers/i-1"
     MARK = "op/evacuate/a"
@@ -126,13 +126,13 @@
         return self.entry(self.KEY)
 
     def test_draining_state_at_a_lower_revision_is_applied(self):
-        """A leaving mark lies at a revision that was seen before, and calls go on."""
+        """Calls to a draining server must end even if the revision was seen before."""
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(1, 18, self.entry_at(1, 18, "draining"))
         self.assertTrue(self.held.leaving)
 
     def test_deletion_at_a_lower_revision_is_applied(self):
-        """An entry is taken away at a revision that was seen before, and calls go on."""
+        """Calls to a deleted server must end even if the revision was seen before."""
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(1, 16, self.entry_at(1, 15))
         self.wait(3.0)
@@ -145,7 +145,7 @@
         self.assertEqual(self.held.born_ms, BORN_MS + 9)
 
     def test_server_missing_from_the_copy_is_kept_for_a_while(self):
-        """A server came after the copy was made, and gets no calls until it has written again."""
+        """A server newer than the copy must keep getting calls until it can write again."""
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(1, 16)
         self.wait(2.0)
@@ -156,7 +156,7 @@
         self.assertIsNone(self.held)
 
     def test_reader_that_knows_of_the_restore_deletes_missing_servers(self):
-        """A node reads long after the restore, and keeps a server that has just gone."""
+        """A node that first reads long after the restore must not keep servers that have left."""
         self.read_at(0, 20, self.entry_at(0, 20))
         self.reader._restores.note_era(1, self.clock.return_value)
         self.wait(3.0)
@@ -164,7 +164,7 @@
         self.assertIsNone(self.held)
 
     def test_starting_node_does_not_delete_missing_servers_at_once(self):
-        """A node starts beside the copy, and tells all that a server which it lacks is gone."""
+        """A starting node must not tell all nodes that servers missing from the copy are gone."""
         document = decode_entry(self.KEY, self.entry_at(0, 20).value, 4)
         self.settings.take(self.KEY, revision_in(0, 20), document, "peer")
         self.read_at(1, 16)
@@ -177,7 +177,7 @@
         self.assertIsNone(self.held)
 
     def test_server_listed_again_in_the_same_era_is_accepted_at_once(self):
-        """A server that was missing writes again, and gets no calls for seconds."""
+        """A server that was missing for a while must not wait seconds for calls."""
         self.read_at(1, 16, self.entry_at(1, 16))
         self.wait(3.0)
         self.read_at(1, 17)
@@ -186,13 +186,13 @@
         self.assertIsNotNone(self.held)
 
     def test_copy_does_not_clear_the_draining_state(self):
-        """The copy shows a server before it began to leave, and calls go there again."""
+        """An entry from before the server began to drain must not send calls there again."""
         self.read_at(0, 20, self.entry_at(0, 20, "draining"))
         self.read_at(1, 16, self.entry_at(1, 15))
         self.assertTrue(self.held.leaving)
 
     def test_copy_does_not_restore_a_server_that_left(self):
-        """The copy shows a server that has left since, and calls go there."""
+        """An entry of a server that has left since must not send calls there."""
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(0, 21)
         self.read_at(1, 16, self.entry_at(1, 15))
@@ -201,7 +201,7 @@
         self.assertIsNone(self.held)
 
     def test_started_peer_does_not_clear_the_draining_state(self):
-        """A node starts, reads the copy, and tells its peers that a leaving server is ready."""
+        """A started node that read the copy must not make a draining server ready on its peers."""
         self.read_at(0, 20, self.entry_at(0, 20, "draining"))
         document = decode_entry(self.KEY, self.entry_at(1, 15).value, revision_in(1, 4))
         self.assertFalse(self.settings.take(self.KEY, revision_in(1, 15), document, "peer"))
@@ -217,7 +217,7 @@
         self.assertIsNone(self.held)
 
     def test_server_still_listed_long_after_a_restore_is_accepted(self):
-        """An entry lapsed in the outage, and its living server gets no calls for good."""
+        """A running server whose entry expired in the outage must get calls again."""
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(0, 21)
         self.read_at(1, 16, self.entry_at(1, 15))
@@ -237,26 +237,26 @@
         self.assertIsNotNone(self.held)
 
     def test_unchanged_entry_keeps_its_revision(self):
-        """A restore makes each node take and tell all entries anew."""
+        """A restore must not make each node apply and pass on all entries again."""
         self.read_at(0, 20, self.entry_at(0, 20))
         self.read_at(1, 16, self.entry_at(1, 15))
         self.assertEqual(self.settings.get(self.KEY).revision, 20)
 
     def test_later_created_of_two_servers_at_an_address_is_current(self):
-        """The revision of a creation is given out again, and the later server looks older."""
+        """The later server must not look older because its creation revision was reused."""
         former = ServerEntry("a", "s", "10.0.0.1:1", "10.0.0.1", "a", 8, False, 20)
         later = replace(former, instance="b", created=revision_in(1, 16))
         self.assertGreater(later.order, former.order)
 
     def test_evacuation_at_a_lower_revision_is_applied(self):
-        """A zone was evacuated before, and its next evacuation is passed over."""
+        """The second evacuation of a zone must not be ignored for its lower revision."""
         self.read_at(0, 19, self.mark_at(0, 19))
         self.read_at(0, 20)
         self.read_at(1, 18, self.mark_at(1, 18))
         self.assertEqual(self.settings.evacuated_zones, frozenset("a"))
 
     def test_end_of_an_evacuation_at_a_lower_revision_is_applied(self):
-        """A zone is taken back at a revision that was seen before, and gets no calls for good."""
+        """A zone whose evacuation ends at a lower revision must get calls again."""
         self.read_at(0, 20, self.mark_at(0, 20))
         self.read_at(1, 16, self.mark_at(1, 16))
         self.wait(3.0)
@@ -264,7 +264,7 @@
         self.assertEqual(self.settings.evacuated_zones, frozenset())
 
     def test_mark_missing_from_the_copy_is_kept_until_it_can_be_rewritten(self):
-        """A zone was evacuated after the copy was made, and calls go there again."""
+        """A zone that was evacuated after the copy was made must not get calls at once."""
         self.read_at(0, 20, self.mark_at(0, 20))
         self.read_at(1, 16)
         self.assertEqual(self.settings.evacuated_zones, frozenset("a"))
@@ -273,7 +273,7 @@
         self.assertEqual(self.settings.evacuated_zones, frozenset())
 
     def test_entry_of_an_earlier_era_from_a_peer_is_refused(self):
-        """A peer that slept tells of an entry from before the restore, at a higher number."""
+        """A peer that was suspended may send an entry with a higher number of an earlier era."""
         self.read_at(1, 18, self.entry_at(1, 18, "draining"))
         document = decode_entry(self.KEY, self.entry_at(0, 25).value, 4)
         self.assertFalse(self.settings.take(self.KEY, revision_in(0, 25), document, "peer"))
@@ -281,7 +281,7 @@
 
 
 class TestStoreClient(unittest.IsolatedAsyncioTestCase):
-    """`StoreClient` beside a store that comes back from a copy."""
+    """`StoreClient` with a store that is restored from an older copy."""
 
     async def asyncSetUp(self):
         address = free_addresses(1)[0]
@@ -304,7 +304,7 @@
         self.assertGreater(after.items[0].created, before.items[0].created)
 
     async def test_watch_fails_after_a_restore(self):
-        """The store has the watch's revision again, and changes below it are never told."""
+        """The store has reached the watch's revision again; changes below it would be lost."""
         copy = self.store.copy()
         self.store.put("a", 1)
         revision = (await self.client.read("a")).revision
@@ -315,7 +315,7 @@
             await self.client.watch("a", revision, deadline_after(1.0))
 
     async def test_read_with_an_invalid_era_fails(self):
-        """An era taken for 0 would make all that is held newer than all that is read."""
+        """Read as era 0, it would make all held settings newer than everything that is read."""
         for era in ("", "-1", "1.5", "two", "²", 1 << 22):
             self.store.era = era
             with self.assertRaises(PlatformError) as caught:
@@ -323,7 +323,7 @@
             self.assertIn("Store-Era", str(caught.exception))
 
     async def test_read_with_pages_of_two_eras_fails(self):
-        """What the copy lacks on the second page is taken for gone."""
+        """Items missing from the copy's second page must not be taken for deleted."""
         for key in "abc":
             self.store.put(key, 1)
         copy = self.store.copy()
@@ -340,7 +340,7 @@
 
 
 class TestConfiguration(FleetCase):
-    """Configurations that operators write before and after the store came back."""
+    """Configurations that operators write before and after a restore of the store."""
 
     def serves(self, host, path):
         async def condition():
@@ -349,7 +349,7 @@
         return condition
 
     async def add_route(self, path):
-        """Publish a further route and wait until every node serves it in time."""
+        """Publish another route and wait until every node serves it, within the time limit."""
         self.fleet.routes.append(route_row(path, "rates"))
         self.fleet.configure()
         limit = now() + IN_FORCE_SECONDS + SLACK_SECONDS
@@ -357,7 +357,7 @@
             await self.fleet.until(self.serves(host, path), f"{path} at {host.ip}", limit - now())
 
     async def test_change_after_a_restore_takes_effect_in_time(self):
-        """Revisions are given out again, and nodes pass over the next configurations."""
+        """Nodes must not ignore configurations at revisions that are assigned again."""
         copy = self.fleet.store.copy()
         await self.add_route("/one/")
         await self.add_route("/two/")
@@ -368,7 +368,7 @@
         await self.add_route("/four/")
 
     async def test_change_lost_by_the_store_stays_in_effect(self):
-        """The copy holds an older configuration, and nodes step back to it."""
+        """Nodes must not return to the older configuration of the copy."""
         copy = self.fleet.store.copy()
         await self.add_route("/one/")
         await self.fleet.restore_store(copy)
@@ -379,7 +379,7 @@
             await asyncio.sleep(0.1)
 
     async def test_starting_node_learns_lost_changes_from_peers(self):
-        """A node starts, reads the copy, and serves an older configuration than its peers."""
+        """A node that starts after the restore must not serve the copy's older configuration."""
         copy = self.fleet.store.copy()
         await self.add_route("/one/")
         await self.fleet.restore_store(copy)
@@ -392,7 +392,7 @@
 
 
 async def _propagation_seconds_after_restore(size, rests):
-    """Return how long each of several versions takes to be known at all nodes."""
+    """Return how long each of several versions takes to reach all nodes, in seconds."""
     random.seed(size)
     fleet = GrowthFleet(size)
     await fleet.start()
@@ -414,7 +414,10 @@
 
 
 async def _draining_propagation_seconds(size):
-    """Return how long after a restore a leaving mark takes, beside a node that starts."""
+    """Return how long the draining state of a server takes to reach all nodes after a restore.
+
+    One node starts after the restore.
+    """
     random.seed(size)
     fleet = GrowthFleet(size)
     await fleet.start()
@@ -444,16 +447,16 @@
 
 
 def _first_reader(fleet):
-    """Return the first node in the order of readers that is not the last place's."""
+    """Return the node of the lowest reader rank, other than that of the last place."""
     nodes = [node for node in fleet.nodes if node.here.host != fleet.places[-1][0]]
     return min(nodes, key=lambda node: node.reader._topology.rank)
 
 
 async def _seconds_server_is_missing(size):
-    """Return how long others missed a server that came after the copy was made.
+    """Return how long other nodes miss a server that registered after the copy was made.
 
-    The node that reads first in order starts as the store is back, and the server
-    writes again 2.2 s later.
+    The node of the lowest reader rank restarts as the store comes back, and the server
+    writes its entry again 2.2 s later.
     """
     random.seed(size)
     fleet = GrowthFleet(size)
@@ -480,13 +483,13 @@
 
 
 async def _deletion_propagation_seconds(size):
-    """Return how long the end of an entry takes that goes five seconds after a restore."""
+    """Return how long the deletion of an entry 5.2 s after a restore takes to reach all nodes."""
     random.seed(size)
     fleet = GrowthFleet(size)
     await fleet.start()
     await asyncio.sleep(8.0)
     fleet.store.come_back_from(fleet.store.copy())
-    # The first reader in order can't reach the store until just before the end.
+    # The node of the lowest rank does not read until just before the deletion.
     _first_reader(fleet).reader._resume_at = now() + 5.0
     await asyncio.sleep(5.2)
     host = fleet.places[-1][0]
@@ -501,7 +504,7 @@
 
 
 async def _until_known(fleet, version):
-    """Return how long it takes until all nodes know a version."""
+    """Return how long it takes until all nodes know `version`, in seconds."""
 
     def knows(node):
         held = node.settings.get(CONFIGURATION_KEY)
@@ -511,7 +514,7 @@
 
 
 async def _until_all(fleet, condition):
-    """Return how long it takes until all nodes fulfil `condition`, ten seconds at most."""
+    """Return how long it takes until `condition` holds for all nodes, at most 10 s."""
     begun = now()
     while now() < begun + 10.0 and not all(condition(node) for node in fleet.nodes):
         await asyncio.sleep(0.01)
@@ -519,10 +522,10 @@
 
 
 class TestPropagation(unittest.TestCase):
-    """How soon nodes know configurations after a restore, in virtual time."""
+    """How soon changes reach all nodes after a restore, in virtual time."""
 
     def test_versions_at_lower_and_equal_revisions_reach_all_nodes_in_time(self):
-        """Nodes pass over what lies at revisions that they have seen, at once and later."""
+        """Nodes must not ignore changes at revisions that they have seen, at once or later."""
         for size in (12, 195):
             seconds = run_virtual(
                 lambda n=size: _propagation_seconds_after_restore(n, (0.0, 0.0, 6.0))
@@ -530,19 +533,22 @@
             self.assertLessEqual(max(seconds), IN_FORCE_SECONDS, (size, seconds))
 
     def test_draining_state_after_a_restore_reaches_all_nodes_in_time(self):
-        """Its mark lies at a revision that all have seen, and peers pass each other's word over."""
+        """Peers must not ignore the change for a revision that all of them have seen."""
         for size in (12, 195):
             seconds = run_virtual(lambda n=size: _draining_propagation_seconds(n))
             self.assertLessEqual(seconds, IN_FORCE_SECONDS, size)
 
     def test_server_missing_from_the_copy_is_kept_by_all_nodes(self):
-        """A node that starts reads the copy, and tells all that a living server is gone."""
+        """A starting node that read the copy must not make all nodes drop a running server."""
         for size in (12, 195):
             seconds = run_virtual(lambda n=size: _seconds_server_is_missing(n))
             self.assertLess(seconds, 0.1, size)
 
     def test_deletion_after_a_restore_reaches_all_nodes_in_time(self):
-        """Each node waits anew when it reads for the first time, and calls go on to who left."""
+        """Nodes must not each start the grace period at their own first read.
+
+        Calls to a server that left would continue.
+        """
         for size in (12, 195):
             seconds = run_virtual(lambda n=size: _deletion_propagation_seconds(n))
             self.assertLessEqual(seconds, IN_FORCE_SECONDS, size)
--- a/caperstack/platform/tests/test_watch.py
+++ b/caperstack/platform/tests/test_watch.py
@@ -74,7 +74,7 @@
         await self.until(lambda: not self.settings.evacuated_zones, 0.5)
 
     async def test_watch_continues_after_its_history_is_dropped(self):
-        """A change that was dropped from the history with the outage must still be noticed."""
+        """A change that the history lost during an outage must still reach the node."""
         self.troubles.cut = True
         self.store.put(KEY, configuration(2, [], ["s"]))
         self.store.drop_history()
