--- a/caperstack/platform/boot.py
+++ b/caperstack/platform/boot.py
@@ -19,7 +19,7 @@
 INITIAL_CONNECTIONS = 64
 
 #: The concurrency limit as a share of the slots.  The platform's backend servers slow down
-#: when they are nearly full, but not up to four fifths of the slots.
+#: when nearly all slots are in use, but not while at most four fifths of them are.
 SLOTS_SHARE = 0.8
 
 #: How long before the platform kills the process the drain ends, in seconds: a slow host
--- a/caperstack/platform/reader.py
+++ b/caperstack/platform/reader.py
@@ -29,8 +29,8 @@
 RANK_STEP_SECONDS = 0.25
 MAX_RANK_STEPS = 4
 
-#: The back-off after failed reads, in seconds, and how long after a failure the node ranks itself
-#: behind all others, which may still reach the store.
+#: The back-off after failed reads, in seconds, and how long after a failure the node
+#: ranks itself behind all others, which may still reach the store.
 RETRY_SECONDS = 0.6
 MAX_RETRY_SECONDS = 2.5
 STAND_DOWN_SECONDS = 4.0
@@ -120,6 +120,7 @@
             self._read_at = read_at
 
     def _detect_outage(self, read_at):
+        """Keep missing servers for a while if the previous read was long before `read_at`."""
         if self._read_at is not None and read_at - self._read_at > OUTAGE_SECONDS:
             self._keep_missing_until = deadline_after(RETURN_SECONDS)
 
