--- a/caperstack/platform/items.py
+++ b/caperstack/platform/items.py
@@ -18,7 +18,7 @@
 IDEMPOTENT_BY_KIND = {"idempotent": True, "non_idempotent": False}
 
 #: The rate of health checks, per second, for a server whose answers to calls do not show its
-#: pace.
+#: slowdown.
 MEASURING_PER_SECOND = 12.0
 
 
