--- a/caperstack/platform/entries.py
+++ b/caperstack/platform/entries.py
@@ -100,7 +100,7 @@
 
     @property
     def incarnation(self):
-        """The identifier of this start of the server, unique among all starts and servers."""
+        """The identifier that distinguishes this start of the server from every other."""
         return f"{self.instance}@{self.born_ms}"
 
     @property
