--- a/caperstack/platform/boot.py
+++ b/caperstack/platform/boot.py
@@ -1,4 +1,4 @@
-"""Start settings as the platform renders them, to the product's own."""
+"""Decoding of the start settings that the platform writes for a node."""
 
 import os
 from dataclasses import dataclass
@@ -8,26 +8,26 @@
 from caperstack.addresses import split_address
 from caperstack.config.here import Backend, Here, Limits
 from caperstack.exception import ConfigurationError
-from caperstack.platform.durations import seconds_of
+from caperstack.platform.durations import parse_duration
 from caperstack.platform.names import BOOT_VARIABLE
 from caperstack.routing.budgets import FleetAllowance
 
 __all__ = ["Boot", "ColdBound", "boot_path", "parse_boot", "read_boot"]
 
-#: Slots and connections of a backend server until the store tells its own.
-FIRST_SLOTS = 8
-FIRST_CONNECTIONS = 64
+#: The slots and connections assumed for a backend server until the store has its own.
+INITIAL_SLOTS = 8
+INITIAL_CONNECTIONS = 64
 
-#: Calls at once, as a share of the slots.  The platform's backend servers take
-#: longer when they are nearly full; up to four fifths of the slots they do not.
+#: The concurrency limit as a share of the slots.  The platform's backend servers slow down
+#: when nearly all slots are in use, but not while at most four fifths of them are.
 SLOTS_SHARE = 0.8
 
-#: How much sooner than the platform's kill a stopping node ends, in seconds: a
-#: slowed host needs that long to answer what is open and to stop its services.
+#: How long before the platform kills the process the drain ends, in seconds: a slow host
+#: needs this time to answer the open calls and to stop the node's services.
 KILL_MARGIN_SECONDS = 0.8
 
-#: Where the counters are shown: the peer port is the first of the range.
-METRICS_OFFSET = 1
+#: The offset of the metrics port from the first port of the range, which is the peer port.
+METRICS_PORT_OFFSET = 1
 
 
 class _Listen(msgspec.Struct):
@@ -50,7 +50,7 @@
     region: str
     listen: _Listen
     ports: list[int] = msgspec.field(name="portRange")
-    # The backend server next to this node, and the service that it belongs to.
+    # The backend server beside this node and its service.
     backend_address: str = msgspec.field(name="appAddress")
     service: str
     store: _Store = msgspec.field(name="platformSettings")
@@ -61,44 +61,44 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdBound:
-    """What a cold backend server may get in a second.
+    """The bound on the request rate of a cold backend server.
 
     Attributes
     ----------
     factor : float
-        Of what the service's servers tolerate.
+        Multiplies the rate that the service's cold servers tolerate.
     slack : float
-        Requests beside that.
+        Additional requests per second.
     """
 
     factor: float = 1.0
     slack: float = 0.0
 
     def per_second(self, tolerated):
-        """Return the most requests in a second; 0 if servers name nothing that they tolerate."""
+        """Return the maximum requests per second; 0 if no tolerated rate is configured."""
         return tolerated * self.factor + self.slack if tolerated > 0 else 0.0
 
 
 @dataclass(slots=True)
 class Boot:
-    """The start settings in the product's terms.
+    """The decoded start settings.
 
     Attributes
     ----------
     here : caperstack.config.here.Here
         This node.
     name : str
-        What the platform calls this host.
+        The name that the platform gives this host.
     ready_address, store_address : str
-        Where the platform asks whether the node is ready, and where its store is.
+        The ``ip:port`` of the readiness check and of the store.
     allowance : caperstack.routing.budgets.FleetAllowance
-        What all nodes may send beyond first tries.
-    drain_until_seconds : float
-        How long after SIGTERM the process may live.
+        The budget, per service, of all nodes together for requests beyond first attempts.
+    drain_timeout_seconds : float
+        How long the node may drain after SIGTERM.
     cold_bound : ColdBound
-        What a cold backend server may get beyond what it tolerates.
+        The bound on the request rate of a cold backend server.
     heartbeat_seconds : float
-        How often a backend server writes its entry in the store.
+        The interval at which a backend server writes its entry in the store.
     """
 
     here: Here
@@ -106,7 +106,7 @@
     ready_address: str
     store_address: str
     allowance: FleetAllowance
-    drain_until_seconds: float
+    drain_timeout_seconds: float
     cold_bound: ColdBound
     heartbeat_seconds: float
 
@@ -117,7 +117,7 @@
     Raises
     ------
     ConfigurationError
-        If the environment does not name it.
+        If the environment variable is not set.
     """
     try:
         return os.environ[BOOT_VARIABLE]
@@ -131,10 +131,9 @@
     Parameters
     ----------
     path : str
-        Of the start settings.
+        The file of the start settings.
     metrics_port : int, optional
-        Where the counters are shown; the second port of the host's range if
-        not given.
+        The port of the metrics; by default the second of the host's port range.
 
     Raises
     ------
@@ -165,7 +164,7 @@
             split_address(address)
     except (msgspec.MsgspecError, ValueError) as error:
         raise ConfigurationError(str(error), step="start settings") from None
-    if len(boot.ports) != 2 or boot.ports[1] - boot.ports[0] < METRICS_OFFSET:
+    if len(boot.ports) != 2 or boot.ports[1] - boot.ports[0] < METRICS_PORT_OFFSET:
         reason = "needs a first and a last port, two ports at least"
         raise ConfigurationError(reason, step="start settings", peer="portRange")
     return Boot(
@@ -178,14 +177,14 @@
             floor=_number(boot.bounds, "budgetMinRetries"),
             window_seconds=_duration(boot.bounds, "budgetWindow"),
         ),
-        drain_until_seconds=_duration(boot.bounds, "grace") - KILL_MARGIN_SECONDS,
+        drain_timeout_seconds=_duration(boot.bounds, "grace") - KILL_MARGIN_SECONDS,
         cold_bound=_cold_bound(boot.bounds),
-        heartbeat_seconds=seconds_of(boot.heartbeat, "heartbeat"),
+        heartbeat_seconds=parse_duration(boot.heartbeat, "heartbeat"),
     )
 
 
 def _cold_bound(bounds):
-    # Platforms whose servers are never cold name neither.
+    # Platforms whose servers have no cold phase set neither of the two.
     if "coldOverage" not in bounds and "coldSlack" not in bounds:
         return ColdBound()
     return ColdBound(_number(bounds, "coldOverage"), _number(bounds, "coldSlack"))
@@ -193,16 +192,16 @@
 
 def _here(boot):
     return Here(
-        # A backend server's entry in the store tells the IP of its host and no
-        # name, so the IP is the name by which nodes know each other.
+        # A backend server's entry in the store has the IP of its host but no name, so nodes
+        # identify each other by IP.
         host=boot.ip,
         zone=boot.zone,
         region=boot.region,
         caller_address=boot.listen.outbound,
         peer_address=f"{boot.ip}:{boot.ports[0]}",
-        operator_address=f"{boot.ip}:{boot.ports[0] + METRICS_OFFSET}",
+        operator_address=f"{boot.ip}:{boot.ports[0] + METRICS_PORT_OFFSET}",
         backend=Backend(
-            boot.backend_address, boot.service, FIRST_SLOTS, SLOTS_SHARE, FIRST_CONNECTIONS
+            boot.backend_address, boot.service, INITIAL_SLOTS, SLOTS_SHARE, INITIAL_CONNECTIONS
         ),
         limits=Limits(
             bodies_bytes=boot.limits.memory_mb * 1024 * 1024 // 4,
@@ -218,4 +217,4 @@
 
 
 def _duration(bounds, name):
-    return seconds_of(bounds.get(name), f"bounds.{name}")
+    return parse_duration(bounds.get(name), f"bounds.{name}")
--- a/caperstack/platform/fleet.py
+++ b/caperstack/platform/fleet.py
@@ -1,4 +1,4 @@
-"""From what the store holds to members, the owner's backend server and its limits."""
+"""Applies the settings from the store to the members and to the owner's backend server."""
 
 import asyncio
 
@@ -10,22 +10,21 @@
 
 
 class FleetView:
-    """Keep members and the owner in step with the store.
+    """Keeps the members and the owner up to date with the settings from the store.
 
     Parameters
     ----------
     here : caperstack.config.here.Here
         This node.
     cold_bound : caperstack.platform.boot.ColdBound
-        What a cold backend server may get in a second.
+        Bounds the request rate of a cold backend server.
 
     Notes
     -----
-    Failure: each change of one backend server's entry makes every node take in
-    the whole list again.  When a fleet is replaced, that is the square of its
-    size: at 195 hosts 20 ms of a weak core for each change, a fifth of all that
-    a node used.  Only the hosts whose entries changed are looked at; two
-    entries may name one host for a while, so those of a host are kept together.
+    Only the hosts whose entries changed are processed.  Processing all entries at each
+    change makes the replacement of a whole fleet quadratic in its size: at 195 hosts it
+    took 20 ms of a slow core for each change, a fifth of a node's CPU time.  Entries are
+    indexed by host because two of them may name the same host for a while.
     """
 
     def __init__(self, here, cold_bound):
@@ -34,26 +33,26 @@
         self._port = here.peer_address.rpartition(":")[2]
         self._registered = False
         self._entries = {}
-        self._at_host = {}
-        self._due = {}
+        self._entries_by_host = {}
+        self._changed_hosts = {}
         self._services = None
-        self._unnamed = set()
+        self._unconfigured = set()
 
     async def start(self, kernel):
-        """Follow the settings."""
+        """Subscribe to changes of the settings."""
         self._events = kernel.find("events")
         self._settings = kernel.find("settings")
         self._members = kernel.find("members")
         self._owner = kernel.find("owner")
-        # Failure: a node starts while the address of its backend server has
-        # gone to one of another service.  The settings still name the old one,
-        # no instance is known to ask for, and the other service runs what no
-        # configuration sends it.  Until the server is listed it gets no call.
+        # The server gets no call until it is listed.  Its address may have been reused by
+        # a server of another service while the start settings still name the old one; as
+        # no instance is known yet that the calls could name, the other service would run
+        # calls that no configuration routes to it.
         self._owner.set_listed(False)
         self._settings.listen(self._on_change)
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing; the view has no task."""
 
     @property
     def registered(self):
@@ -67,87 +66,89 @@
         return None if held is None else held.parsed
 
     def health_path(self):
-        """Return the health path of the service beside this node."""
+        """Return the health path of the backend server's service, ``/health`` if unknown."""
         configuration = self.configuration
         limits = configuration and configuration.services.get(self._here.backend.service)
         return limits.health_path if limits else "/health"
 
     def _on_change(self, held):
-        if not self._due:
-            # A node that starts takes in all entries in one turn of the loop;
-            # two entries of a host are judged together.
-            asyncio.get_running_loop().call_soon(self._apply)
-        # A dict serves as an ordered set: hosts are looked at in the order of the
-        # changes.  The own host is always among them, so that an apply is due.
-        self._due[self._here.host] = True
+        if not self._changed_hosts:
+            # Deferred, so that a starting node applies all entries in one iteration of the
+            # event loop, and two entries of a host are compared with each other.
+            asyncio.get_running_loop().call_soon(self._apply_changes)
+        # The dict is used as an ordered set: hosts are processed in the order of the
+        # changes.  The node's own host is always added, so that the dict is not empty while
+        # a call of _apply_changes is scheduled.
+        self._changed_hosts[self._here.host] = True
         if held.path == CONFIGURATION_KEY:
             self._apply_limits(held.parsed)
-            self._name_services(held.parsed)
+            self._update_services(held.parsed)
         elif isinstance(held.parsed, ServerEntry | None):
-            self._note(held.path, held.parsed)
+            self._index_entry(held.path, held.parsed)
 
     def _apply_limits(self, configuration):
         limits = self._here.limits
         limits.body_bytes = configuration.body_bytes
-        # A caller may send on a connection that was idle for as long as any
-        # configuration in force allows.
+        # Never reduced: a caller may still use a connection that was idle for as long as
+        # an earlier configuration allowed.
         limits.idle_seconds = max(limits.idle_seconds, configuration.idle_seconds)
 
     def _apply_cold_limit(self):
         configuration = self.configuration
         limits = configuration and configuration.services.get(self._here.backend.service)
         if limits:
-            most = self._cold_bound.per_second(limits.cold_per_second)
-            self._owner.set_cold_limit(most, limits.cold_seconds)
+            max_per_second = self._cold_bound.per_second(limits.cold_per_second)
+            self._owner.set_cold_limit(max_per_second, limits.cold_seconds)
 
-    def _name_services(self, configuration):
-        # A service may be named only by a later configuration than its servers.
+    def _update_services(self, configuration):
+        # Servers may register before the configuration that names their service, so all
+        # hosts are checked again.
         services = frozenset(configuration.services)
         if services != self._services:
             self._services = services
-            self._due.update(dict.fromkeys(self._at_host))
+            self._changed_hosts.update(dict.fromkeys(self._entries_by_host))
 
-    def _note(self, path, entry):
-        """The entry at that path is `entry` now, or gone if ``None``."""
+    def _index_entry(self, path, entry):
+        """Replace the entry at `path` in the index; ``None`` removes it."""
         former = self._entries.pop(path, None)
         if former is not None:
-            self._due[former.host] = True
-            neighbours = self._at_host[former.host]
-            del neighbours[path]
-            if not neighbours:
-                del self._at_host[former.host]
+            self._changed_hosts[former.host] = True
+            at_host = self._entries_by_host[former.host]
+            del at_host[path]
+            if not at_host:
+                del self._entries_by_host[former.host]
         if entry is None:
-            self._unnamed.discard(path)
+            self._unconfigured.discard(path)
             return
-        self._due[entry.host] = True
+        self._changed_hosts[entry.host] = True
         self._entries[path] = entry
-        self._at_host.setdefault(entry.host, {})[path] = entry
+        self._entries_by_host.setdefault(entry.host, {})[path] = entry
 
-    def _apply(self):
-        due, self._due = self._due, {}
-        for host in due:
+    def _apply_changes(self):
+        changed, self._changed_hosts = self._changed_hosts, {}
+        for host in changed:
             entry = self._newest(host)
             if entry is None:
                 self._members.remove(host)
             else:
                 self._members.put(self._host_entry(entry))
             if host == self._here.host:
-                self._apply_own(entry)
+                self._apply_own_entry(entry)
                 self._apply_cold_limit()
 
     def _newest(self, host):
-        """Return the entry that holds `host`, or ``None``."""
-        entries = self._at_host.get(host, {}).items()
-        named = [entry for path, entry in entries if self._names(path, entry)]
-        return max(named, key=lambda entry: entry.order, default=None)
+        """Return the newest configured entry of `host`, or ``None``."""
+        entries = self._entries_by_host.get(host, {}).items()
+        configured = [entry for path, entry in entries if self._is_configured(path, entry)]
+        return max(configured, key=lambda entry: entry.order, default=None)
 
-    def _names(self, path, entry):
-        """Return whether the configuration, if one is known, names the entry's service."""
+    def _is_configured(self, path, entry):
+        """Return whether the entry's service is configured; ``True`` without a configuration."""
         if self._services is None or entry.service in self._services:
-            self._unnamed.discard(path)
+            self._unconfigured.discard(path)
             return True
-        if path not in self._unnamed:
-            self._unnamed.add(path)
+        if path not in self._unconfigured:
+            self._unconfigured.add(path)
             self._events.belief(
                 "foreign entry", key=entry.instance, reason="service: not configured"
             )
@@ -164,12 +165,12 @@
             entry.incarnation,
         )
 
-    def _apply_own(self, entry):
+    def _apply_own_entry(self, entry):
         if entry is None:
             self._owner.set_listed(False)
             return
         self._registered = True
         self._owner.assign(entry.instance, entry.service, entry.born_ms)
         self._owner.resize(entry.slots)
-        # Its service's limits come with the configuration: no call before.
+        # No call before the configuration is known, as it holds the limits of the service.
         self._owner.set_listed(not entry.leaving and self.configuration is not None)
--- a/caperstack/platform/tests/test_decoding.py
+++ b/caperstack/platform/tests/test_decoding.py
@@ -1,4 +1,4 @@
-"""Start settings, configuration and entries: decoded whole, or refused by name."""
+"""Start settings and configuration: valid ones are decoded, errors name the bad field."""
 
 import contextlib
 import io
@@ -14,7 +14,7 @@
 from caperstack.exception import ConfigurationError
 from caperstack.platform.__main__ import main
 from caperstack.platform.boot import parse_boot
-from caperstack.platform.durations import seconds_of
+from caperstack.platform.durations import parse_duration
 from caperstack.platform.items import StoreCodec
 from caperstack.platform.names import BOOT_VARIABLE, CONFIGURATION_KEY
 from caperstack.platform.standin.fleet import PlatformFleet, route_row
@@ -24,7 +24,7 @@
 
 
 def configuration(*rows, **changes):
-    """Return a configuration's document with these routes."""
+    """Return the document of a configuration with the routes `rows`."""
     columns = "name authority prefix kind timeout targetLatency priority service"
     return {
         "version": 3,
@@ -38,21 +38,21 @@
 
 
 def service_rows(cold, rate):
-    """Return the services of a configuration, with what a cold server of the one tolerates."""
+    """Return the services of a configuration: one, with the time and rate of its cold servers."""
     columns = ["name", "healthPath", "maxConnections", "cold", "coldPerS"]
     return {"columns": columns, "rows": [["slots", "/h", 260, cold, rate]]}
 
 
 class TestDurations(unittest.TestCase):
-    """`seconds_of`."""
+    """`parse_duration`."""
 
-    def test_both_units(self):
-        self.assertEqual((seconds_of("1500ms"), seconds_of("2.5s")), (1.5, 2.5))
+    def test_milliseconds_and_seconds(self):
+        self.assertEqual((parse_duration("1500ms"), parse_duration("2.5s")), (1.5, 2.5))
 
     @given(st.one_of(st.none(), st.integers(), st.text(max_size=8)))
-    def test_anything_else_names_the_field(self, value):
+    def test_invalid_durations_name_the_field(self, value):
         try:
-            self.assertGreaterEqual(seconds_of(value, "here"), 0.0)
+            self.assertGreaterEqual(parse_duration(value, "here"), 0.0)
         except ConfigurationError as error:
             self.assertIn("here", str(error))
 
@@ -60,12 +60,12 @@
 class TestBoot(unittest.TestCase):
     """`parse_boot`."""
 
-    def test_fields_reach_the_product(self):
+    def test_fields_are_decoded(self):
         boot = parse_boot(json.dumps(BOOT))
         self.assertEqual(boot.here.host, BOOT["ip"])
         self.assertEqual(boot.here.backend.service, "slots")
         self.assertEqual((boot.allowance.share, boot.allowance.floor), (0.2, 64.0))
-        self.assertLess(boot.drain_until_seconds, 6.0)
+        self.assertLess(boot.drain_timeout_seconds, 6.0)
 
     def test_command_line_checks_settings_and_names_the_bad_field(self):
         for document, status, said in ((BOOT, 0, "good"), (BOOT | {"zone": 5}, 2, "zone")):
@@ -104,7 +104,7 @@
     def parse(self, document):
         return StoreCodec().parse(CONFIGURATION_KEY, document)
 
-    def test_route_is_decoded_whole(self):
+    def test_route_fields_are_decoded(self):
         row = route_row("/a/b/", "slots", "non_idempotent", priority=2)
         route = self.parse(configuration(row)).routes[0]
         self.assertEqual((route.host, route.path, route.service), ("x.example", "/a/b/", "slots"))
