--- a/caperstack/peers/tests/test_port.py
+++ b/caperstack/peers/tests/test_port.py
@@ -16,10 +16,10 @@
     def __init__(self, moment):
         with use_source(lambda: moment):
             self.interest = Interest()
-        self.told = []
+        self.sent = []
 
     def send(self, message):
-        self.told.append(message.load.state)
+        self.sent.append(message.load.state)
 
 
 class TestPushes(unittest.TestCase):
@@ -41,11 +41,11 @@
         # A server's entry was gone and is back.  An entry that took it for
         # leaving has not called it for seconds, and must hear of it now.
         self.tell(state=ServerState.WARM)
-        self.assertEqual(self.other.told, [ServerState.LEAVING, ServerState.WARM])
+        self.assertEqual(self.other.sent, [ServerState.LEAVING, ServerState.WARM])
 
     def test_pace_is_told_to_those_who_call(self):
         self.tell(pace=400)
-        self.assertEqual((len(self.caller.told), len(self.other.told)), (2, 1))
+        self.assertEqual((len(self.caller.sent), len(self.other.sent)), (2, 1))
 
     def test_whoever_was_told_of_a_visit_hears_of_its_end(self):
         # An entry's call was refused since the host is slowed.  It calls
@@ -54,7 +54,7 @@
         self.tell(pace=300)
         self.tell(pace=100)
         self.tell(pace=110)
-        self.assertEqual(len(self.other.told), 2)
+        self.assertEqual(len(self.other.sent), 2)
 
 
 if __name__ == "__main__":
