--- a/caperstack/peers/connection.py
+++ b/caperstack/peers/connection.py
@@ -6,7 +6,7 @@
 from caperstack.clock import TransitClock, now
 from caperstack.exception import FrameError, PeerError
 from caperstack.peers.frames import FrameDecoder, encode_frame
-from caperstack.peers.interest import Interest
+from caperstack.peers.interest import LoadInterest
 from caperstack.peers.messages import VERSION, Chunk, Hello
 
 __all__ = ["BUFFER_BYTES", "HANDSHAKE_SECONDS", "PeerConnection"]
@@ -56,7 +56,7 @@
         self._closed = False
         self.address = address
         self.hello = None
-        self.interest = Interest()
+        self.interest = LoadInterest()
         self.transit = TransitClock()
         self.arrival = 0.0
         self._metrics = metrics
--- a/caperstack/peers/interest.py
+++ b/caperstack/peers/interest.py
@@ -3,7 +3,7 @@
 from caperstack.calls.model import SLOWED_PACE
 from caperstack.clock import deadline_after, now
 
-__all__ = ["CALLS_SECONDS", "Interest"]
+__all__ = ["CALLS_SECONDS", "LoadInterest"]
 
 #: An entry that has not called for so long is not told of loads, in seconds; it
 #: hears of them with the answer to its next call.  News of a neighbour's visit
@@ -13,7 +13,7 @@
 CALLS_SECONDS = 1.7
 
 
-class Interest:
+class LoadInterest:
     """Whether one entry has use for news, from when it called and what it was told.
 
     Notes
@@ -26,18 +26,18 @@
     """
 
     def __init__(self):
-        self._calls_until = deadline_after(CALLS_SECONDS)
-        self._told_slowed = False
+        self._active_until = deadline_after(CALLS_SECONDS)
+        self._last_load_slowed = False
 
-    def called(self):
+    def record_call(self):
         """The entry has sent a call."""
-        self._calls_until = deadline_after(CALLS_SECONDS)
+        self._active_until = deadline_after(CALLS_SECONDS)
 
-    def told(self, load):
+    def record_load(self, load):
         """The entry was told `load`, with an answer or by itself."""
-        self._told_slowed = _slowed(load)
+        self._last_load_slowed = _is_slowed(load)
 
-    def wants(self, load):
+    def wants_update(self, load):
         """Return whether to tell the entry `load` by itself.
 
         Notes
@@ -46,8 +46,8 @@
         call again.  For two seconds it takes the host for slowed, though the
         neighbour left after 0.2.  Whoever was told of a visit hears of its end.
         """
-        return now() < self._calls_until or (self._told_slowed and not _slowed(load))
+        return now() < self._active_until or (self._last_load_slowed and not _is_slowed(load))
 
 
-def _slowed(load):
+def _is_slowed(load):
     return load.pace >= SLOWED_PACE * 100
--- a/caperstack/peers/port.py
+++ b/caperstack/peers/port.py
@@ -202,7 +202,7 @@
         call = call_from(message, body, connection.hello.host, connection.arrival, lateness)
         if message.withheld:
             call.withheld = WithheldBody(self._withheld, connection, message.id)
-        connection.interest.called()
+        connection.interest.record_call()
         self._spawn(self._run(call, connection))
 
     @_take.register
@@ -280,7 +280,7 @@
     def _report(self, connection):
         """Return the report of the load now, which the entry is told."""
         load = self._owner.load
-        connection.interest.told(load)
+        connection.interest.record_load(load)
         return load_report(load)
 
     def _send(self, connection, message):
@@ -333,8 +333,8 @@
         self._crowding_due = deadline_after(PUSH_CROWDING_SECONDS)
         message = State(load_report(load))
         for connection in list(self._connections):
-            if changed or connection.interest.wants(load):
-                connection.interest.told(load)
+            if changed or connection.interest.wants_update(load):
+                connection.interest.record_load(load)
                 self._send(connection, message)
 
 
--- a/caperstack/peers/tests/test_port.py
+++ b/caperstack/peers/tests/test_port.py
@@ -6,7 +6,7 @@
 
 from caperstack.calls.model import Load, ServerState
 from caperstack.clock import now, use_source
-from caperstack.peers.interest import CALLS_SECONDS, Interest
+from caperstack.peers.interest import CALLS_SECONDS, LoadInterest
 from caperstack.peers.port import PeerPort
 
 
@@ -15,7 +15,7 @@
 
     def __init__(self, moment):
         with use_source(lambda: moment):
-            self.interest = Interest()
+            self.interest = LoadInterest()
         self.sent = []
 
     def send(self, message):
@@ -50,7 +50,7 @@
     def test_whoever_was_told_of_a_visit_hears_of_its_end(self):
         # An entry's call was refused since the host is slowed.  It calls
         # elsewhere and would leave this host alone for two seconds more.
-        self.other.interest.told(replace(self.owner.load, pace=400))
+        self.other.interest.record_load(replace(self.owner.load, pace=400))
         self.tell(pace=300)
         self.tell(pace=100)
         self.tell(pace=110)
--- a/caperstack/play/hosts.py
+++ b/caperstack/play/hosts.py
@@ -13,7 +13,7 @@
 from caperstack.kernel import Kernel
 from caperstack.membership.members import HostEntry, Members
 from caperstack.operators.metrics import Metrics
-from caperstack.peers.interest import Interest
+from caperstack.peers.interest import LoadInterest
 from caperstack.quarantine.suspects import Suspects
 from caperstack.routing.dispatch import Dispatcher
 from caperstack.routing.table import EffectiveService
@@ -72,17 +72,17 @@
         self._member = member
         self._seconds = seconds
         self._counts = counts
-        self._interest = Interest()
+        self._interest = LoadInterest()
         owner.listen(self._tell_changed)
 
     async def run(self, call):
         """Return the outcome of `call`, with the way there and back."""
         self._counts["calls in the zone" if self._seconds == NEAR_SECONDS else "calls out"] += 1
-        self._interest.called()
+        self._interest.record_call()
         await asyncio.sleep(self._seconds)
         outcome = await self._owner.run(copy.copy(call), self._tell_later)
         load = self._owner.load
-        self._interest.told(load)
+        self._interest.record_load(load)
         await asyncio.sleep(self._seconds)
         self._member.estimate.take_load(load)
         return outcome
@@ -94,13 +94,13 @@
         """Nothing to open."""
 
     def _tell_changed(self):
-        if self._interest.wants(self._owner.load):
+        if self._interest.wants_update(self._owner.load):
             self._tell_later()
 
     def _tell_later(self):
         self._counts["loads told"] += 1
         load = self._owner.load
-        self._interest.told(load)
+        self._interest.record_load(load)
         asyncio.get_running_loop().call_later(
             self._seconds, lambda: self._member.estimate.take_load(load)
         )
