--- a/caperstack/peers/connection.py
+++ b/caperstack/peers/connection.py
@@ -9,7 +9,7 @@
 from caperstack.peers.interest import LoadInterest
 from caperstack.peers.messages import VERSION, Chunk, Hello
 
-__all__ = ["BUFFER_BYTES", "HANDSHAKE_SECONDS", "PeerConnection"]
+__all__ = ["BUFFER_BYTES", "HANDSHAKE_TIMEOUT_SECONDS", "PeerConnection"]
 
 READ_BYTES = 256 * 1024
 
@@ -18,17 +18,17 @@
 CHUNK_BYTES = 64 * 1024
 
 #: Bytes that may wait for a peer that does not read, before it counts as stuck.
-WRITE_BACKLOG = 64 * 1024 * 1024
+MAX_WRITE_BACKLOG_BYTES = 64 * 1024 * 1024
 
 #: Bytes of bodies that a peer may leave incomplete.
-PARTIAL_BODIES = 64 * 1024 * 1024
+MAX_INCOMPLETE_BODY_BYTES = 64 * 1024 * 1024
 
-HANDSHAKE_SECONDS = 5.0
-REST_OF_FRAME_SECONDS = 15.0
+HANDSHAKE_TIMEOUT_SECONDS = 5.0
+FRAME_TIMEOUT_SECONDS = 15.0
 
 
 @dataclass(slots=True)
-class _Partial:
+class _IncompleteMessage:
     message: object
     body: bytearray
 
@@ -50,9 +50,9 @@
         self._reader = reader
         self._writer = writer
         self._decoder = FrameDecoder()
-        self._partials = {}
-        self._partial_bytes = 0
-        self._early = []
+        self._incomplete = {}
+        self._incomplete_bytes = 0
+        self._messages_after_hello = []
         self._closed = False
         self.address = address
         self.hello = None
@@ -77,9 +77,9 @@
             If it sends something else.
         """
         self.send(hello)
-        messages = self._batches()
+        messages = self._read_batches()
         try:
-            async with asyncio.timeout(HANDSHAKE_SECONDS):
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_SECONDS):
                 batch = await anext(messages, None)
         except TimeoutError:
             raise PeerError("no hello in time", step="handshake", peer=self.address) from None
@@ -93,20 +93,20 @@
             raise PeerError(reason, step="handshake", peer=self.address)
         self.transit.lateness(first.sent_us / 1e6, self.arrival)
         self.hello = first
-        self._early = batch[1:]
+        self._messages_after_hello = batch[1:]
         return first
 
     async def messages(self):
         """Yield ``(message, body)`` with whole bodies until the peer closes."""
-        for message, body in self._early:
+        for message, body in self._messages_after_hello:
             for whole in self._assemble(message, body):
                 yield whole
-        async for batch in self._batches():
+        async for batch in self._read_batches():
             for message, body in batch:
                 for whole in self._assemble(message, body):
                     yield whole
 
-    async def _batches(self):
+    async def _read_batches(self):
         while True:
             data = await self._read()
             if not data:
@@ -121,10 +121,10 @@
         # A peer that drips a frame byte by byte would hold its buffer for
         # ever: the rest of a begun frame, and of a begun body, has a deadline.
         # A connection at rest between frames has none.
-        if not self._decoder.partial and not self._partials:
+        if not self._decoder.partial and not self._incomplete:
             return await self._reader.read(READ_BYTES)
         try:
-            async with asyncio.timeout(REST_OF_FRAME_SECONDS):
+            async with asyncio.timeout(FRAME_TIMEOUT_SECONDS):
                 return await self._reader.read(READ_BYTES)
         except TimeoutError:
             raise FrameError("rest of frame missing", step="read", peer=self.address) from None
@@ -135,24 +135,24 @@
         size = getattr(message, "size", None)
         if size is None or size == len(body):
             return ((message, body),)
-        if size < len(body) or message.id in self._partials:
+        if size < len(body) or message.id in self._incomplete:
             raise FrameError("body longer than declared", step="body", peer=self.address)
-        self._partial_bytes += size
-        if self._partial_bytes > PARTIAL_BODIES:
+        self._incomplete_bytes += size
+        if self._incomplete_bytes > MAX_INCOMPLETE_BODY_BYTES:
             raise FrameError("too many incomplete bodies", step="body", peer=self.address)
-        self._partials[message.id] = _Partial(message, bytearray(body))
+        self._incomplete[message.id] = _IncompleteMessage(message, bytearray(body))
         return ()
 
     def _add_chunk(self, number, body):
-        partial = self._partials.get(number)
+        partial = self._incomplete.get(number)
         if partial is None:
             raise FrameError("chunk without message", step="body", peer=self.address)
         partial.body += body
         size = partial.message.size
         if len(partial.body) < size:
             return ()
-        del self._partials[number]
-        self._partial_bytes -= size
+        del self._incomplete[number]
+        self._incomplete_bytes -= size
         if len(partial.body) > size:
             raise FrameError("body longer than declared", step="body", peer=self.address)
         return ((partial.message, bytes(partial.body)),)
@@ -167,13 +167,13 @@
         """
         if self.closed:
             raise PeerError("connection is closed", step="send", peer=self.address, sent=False)
-        if self._writer.transport.get_write_buffer_size() > WRITE_BACKLOG:
+        if self._writer.transport.get_write_buffer_size() > MAX_WRITE_BACKLOG_BYTES:
             raise PeerError("peer does not read", step="send", peer=self.address, sent=False)
         data = encode_frame(message, body)
         self._metrics.sent_to_peer(type(message).__name__, len(data))
         self._writer.write(data)
 
-    async def send_whole(self, message, body):
+    async def send_in_chunks(self, message, body):
         """Send a message with a body of any length, in chunks."""
         self.send(message, body[:CHUNK_BYTES])
         for start in range(CHUNK_BYTES, len(body), CHUNK_BYTES):
--- a/caperstack/peers/frames.py
+++ b/caperstack/peers/frames.py
@@ -7,11 +7,11 @@
 from caperstack.exception import FrameError
 from caperstack.peers.messages import Message
 
-__all__ = ["FrameDecoder", "MAX_FRAME", "encode_frame"]
+__all__ = ["FrameDecoder", "MAX_FRAME_BYTES", "encode_frame"]
 
 #: The largest frame that is read, in bytes.  Longer bodies come in chunks, so
 #: that a large body cannot hold up the small messages behind it for long.
-MAX_FRAME = 256 * 1024
+MAX_FRAME_BYTES = 256 * 1024
 
 _LENGTHS = struct.Struct(">II")
 _encoder = msgspec.msgpack.Encoder()
@@ -49,7 +49,7 @@
         Raises
         ------
         FrameError
-            If the bytes are no frame, or one beyond `MAX_FRAME`.
+            If the bytes are no frame, or one beyond `MAX_FRAME_BYTES`.
         """
         buffer = self._buffer
         buffer += data
@@ -57,7 +57,7 @@
         try:
             while len(buffer) - start >= _LENGTHS.size:
                 total, header = _LENGTHS.unpack_from(buffer, start)
-                if total > MAX_FRAME or header > total:
+                if total > MAX_FRAME_BYTES or header > total:
                     raise FrameError(f"length {total} with header {header}", step="frame")
                 first = start + _LENGTHS.size
                 end = first + total
--- a/caperstack/peers/link.py
+++ b/caperstack/peers/link.py
@@ -144,7 +144,7 @@
         try:
             message = call_message(call, self._links.events.clock.tick(), withheld)
             async with asyncio.timeout_at(call.deadline + GRACE_SECONDS):
-                await connection.send_whole(message, b"" if withheld else call.body)
+                await connection.send_in_chunks(message, b"" if withheld else call.body)
                 message, body = await future
         except TimeoutError:
             self._send_quietly(Revoke(call.id, False))
@@ -349,7 +349,7 @@
 
     async def _send_body(self, call, connection):
         try:
-            await connection.send_whole(CallBody(call.id, len(call.body)), call.body)
+            await connection.send_in_chunks(CallBody(call.id, len(call.body)), call.body)
         except (PeerError, ConnectionError):
             # The owner hears of the lost connection, and that the call did not run.
             self._links.metrics.count("unsent_notices")
--- a/caperstack/peers/port.py
+++ b/caperstack/peers/port.py
@@ -9,7 +9,7 @@
 from caperstack.exception import PeerError
 from caperstack.peers.connection import (
     BUFFER_BYTES,
-    HANDSHAKE_SECONDS,
+    HANDSHAKE_TIMEOUT_SECONDS,
     PeerConnection,
 )
 from caperstack.peers.messages import (
@@ -115,7 +115,7 @@
         ip, port = split_address(self._here.peer_address)
         # A stranger that begins no TLS would otherwise hold its connection
         # for a minute.
-        limit = HANDSHAKE_SECONDS if context is not None else None
+        limit = HANDSHAKE_TIMEOUT_SECONDS if context is not None else None
         self._server = await asyncio.start_server(
             self._accept,
             ip,
@@ -267,7 +267,7 @@
         report = self._report(connection)
         message, body = reply_to(outcome, number, report, self._events.clock.tick())
         try:
-            await connection.send_whole(message, body)
+            await connection.send_in_chunks(message, body)
         except (PeerError, ConnectionError):
             # The entry will ask again over a new connection: Owner remembers.
             self._metrics.count("replies_without_connection")
--- a/caperstack/peers/tests/test_frames.py
+++ b/caperstack/peers/tests/test_frames.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from caperstack.exception import FrameError
-from caperstack.peers.frames import MAX_FRAME, FrameDecoder, encode_frame
+from caperstack.peers.frames import MAX_FRAME_BYTES, FrameDecoder, encode_frame
 from caperstack.peers.messages import Chunk, Revoke
 
 
@@ -37,7 +37,7 @@
 
     def test_frame_beyond_the_bound(self):
         with self.assertRaises(FrameError):
-            list(FrameDecoder().feed(encode_frame(Chunk(1), bytes(MAX_FRAME))))
+            list(FrameDecoder().feed(encode_frame(Chunk(1), bytes(MAX_FRAME_BYTES))))
 
     def test_good_messages_before_a_bad_one_are_delivered(self):
         decoded = []
--- a/caperstack/platform/standin/growth.py
+++ b/caperstack/platform/standin/growth.py
@@ -115,7 +115,7 @@
         self._delivered_at = max(self._delivered_at, now() + way)
         asyncio.get_running_loop().call_at(self._delivered_at, self._deliver, message, body)
 
-    async def send_whole(self, message, body):
+    async def send_in_chunks(self, message, body):
         """Deliver a message with a long body."""
         self.send(message, body)
 
--- a/caperstack/settings/sync.py
+++ b/caperstack/settings/sync.py
@@ -331,7 +331,7 @@
         )
         self._metrics.count("settings_bodies_sent")
         try:
-            await connection.send_whole(message, body)
+            await connection.send_in_chunks(message, body)
         except (PeerError, ConnectionError):
             self._metrics.count("unsent_notices")
 
--- a/caperstack/settings/tests/test_sync.py
+++ b/caperstack/settings/tests/test_sync.py
@@ -29,7 +29,7 @@
     def send(self, message, body=b""):
         self.sent.append(message)
 
-    async def send_whole(self, message, body):
+    async def send_in_chunks(self, message, body):
         self.sent.append((message, body))
 
 
