--- a/caperstack/peers/link.py
+++ b/caperstack/peers/link.py
@@ -27,9 +27,9 @@
 
 __all__ = ["Link", "PING_SECONDS"]
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 REDIAL_SECONDS = 0.1
-REDIAL_SECONDS_MOST = 2.0
+MAX_REDIAL_SECONDS = 2.0
 
 #: Heartbeats: what is heard on a link is one.  Without, a ping goes out after
 #: 0.4 s where calls wait and after two seconds on an idle link; after 1.2 s the
@@ -38,13 +38,13 @@
 #: 0.2 to 0.6 s, so two losses in a row do not count as silence.
 PING_SECONDS = 0.4
 IDLE_PING_SECONDS = 2.0
-SILENT_SECONDS = 1.2
+SILENCE_TIMEOUT_SECONDS = 1.2
 
 #: How long a link that nobody used stays open.
-UNUSED_SECONDS = 60.0
+IDLE_CLOSE_SECONDS = 60.0
 
 #: How long the entry waits beyond the deadline for the owner's own word.
-GRACE_SECONDS = 0.05
+DEADLINE_GRACE_SECONDS = 0.05
 
 
 class Link:
@@ -67,11 +67,11 @@
         self._sending = set()
         self._numbers = itertools.count(1)
         self._task = None
-        self._up = asyncio.Event()
-        self._hurried = asyncio.Event()
+        self._connected = asyncio.Event()
+        self._redial_requested = asyncio.Event()
         self._used_until = 0.0
-        self._heard_at = 0.0
-        self._awaits_pong = False
+        self._last_received_at = 0.0
+        self._awaiting_pong = False
         self._failures = 0
         self._retired = False
 
@@ -85,7 +85,7 @@
         """Whether calls can be sent now; a link not yet tried counts as usable."""
         if self._connection is None:
             return self._failures == 0
-        return not self._awaits_pong or now() - self._heard_at < SILENT_SECONDS
+        return not self._awaiting_pong or now() - self._last_received_at < SILENCE_TIMEOUT_SECONDS
 
     @property
     def connection(self):
@@ -96,16 +96,16 @@
         """Open the link if it is closed, and keep it open for a while."""
         if self._retired:
             return
-        self._used_until = deadline_after(UNUSED_SECONDS)
+        self._used_until = deadline_after(IDLE_CLOSE_SECONDS)
         if self._task is None or self._task.done():
-            self._task = asyncio.create_task(self._keep_open())
+            self._task = asyncio.create_task(self._maintain_connection())
 
     def freshen(self, estimate):
         """Nothing: a remote load is known as it was last told."""
 
-    def hurry(self):
+    def redial_now(self):
         """The peer was heard of: dial it now rather than after the next wait."""
-        self._hurried.set()
+        self._redial_requested.set()
 
     def retire(self):
         """The member is no longer listed: finish what is out, then close for good.
@@ -143,14 +143,14 @@
         self._calls[call.id] = call
         try:
             message = call_message(call, self._links.events.clock.tick(), withheld)
-            async with asyncio.timeout_at(call.deadline + GRACE_SECONDS):
+            async with asyncio.timeout_at(call.deadline + DEADLINE_GRACE_SECONDS):
                 await connection.send_in_chunks(message, b"" if withheld else call.body)
                 message, body = await future
         except TimeoutError:
-            self._send_quietly(Revoke(call.id, False))
+            self._send_if_connected(Revoke(call.id, False))
             return Unknown("deadline passed", 504)
         except asyncio.CancelledError:
-            self._send_quietly(Revoke(call.id, False))
+            self._send_if_connected(Revoke(call.id, False))
             raise
         finally:
             self._pending.pop(call.id, None)
@@ -202,14 +202,14 @@
 
     def tell(self, message):
         """Send a message that needs no reply, if the link is open."""
-        self._send_quietly(message)
+        self._send_if_connected(message)
 
     def _expect(self, number):
         future = asyncio.get_running_loop().create_future()
         self._pending[number] = future
         return future
 
-    def _send_quietly(self, message):
+    def _send_if_connected(self, message):
         if self._connection is None:
             return
         try:
@@ -221,8 +221,10 @@
         self.touch()
         if self._connection is None:
             try:
-                async with asyncio.timeout_at(min(deadline, deadline_after(CONNECT_SECONDS))):
-                    await self._up.wait()
+                async with asyncio.timeout_at(
+                    min(deadline, deadline_after(CONNECT_TIMEOUT_SECONDS))
+                ):
+                    await self._connected.wait()
             except TimeoutError:
                 raise PeerError(
                     "no connection", step="connect", peer=self._member.host, sent=False
@@ -233,7 +235,7 @@
 
     # -- the link's task --------------------------------------------------
 
-    async def _keep_open(self):
+    async def _maintain_connection(self):
         while now() < self._used_until:
             try:
                 await self._serve_one_connection()
@@ -244,28 +246,28 @@
                 self._links.metrics.count("link_failures", kind=type(error).__name__)
                 if self._failures == 1:
                     self._links.events.state("link", "up", f"down: {error}", self._member.host)
-            wait = min(REDIAL_SECONDS_MOST, REDIAL_SECONDS * 2 ** min(self._failures, 8))
+            wait = min(MAX_REDIAL_SECONDS, REDIAL_SECONDS * 2 ** min(self._failures, 8))
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait * random.uniform(0.5, 1.0)):
-                    await self._hurried.wait()
-            self._hurried.clear()
+                    await self._redial_requested.wait()
+            self._redial_requested.clear()
 
     async def _serve_one_connection(self):
         connection = await self._dial()
         try:
-            await self._greet(connection)
+            await self._perform_handshake(connection)
             async for message, body in connection.messages():
-                self._heard_at = connection.arrival
-                self._awaits_pong = False
-                self._take(message, body)
+                self._last_received_at = connection.arrival
+                self._awaiting_pong = False
+                self._handle_message(message, body)
         finally:
             connection.abort()
-            self._lost()
+            self._on_connection_lost()
 
     async def _dial(self):
         ip, port = split_address(self._member.peer_address)
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 reader, writer = await asyncio.open_connection(
                     ip, port, limit=BUFFER_BYTES, ssl=self._links.client_tls()
                 )
@@ -274,28 +276,28 @@
             raise PeerError(reason, step="connect", peer=self._member.host, sent=False) from None
         return PeerConnection(reader, writer, self._member.peer_address, self._links.metrics)
 
-    async def _greet(self, connection):
+    async def _perform_handshake(self, connection):
         hello = await connection.handshake(self._links.hello())
         if hello.host != self._member.host:
             reason = f"it is {hello.host}, not {self._member.host}"
             raise FrameError(reason, step="handshake", peer=self._member.peer_address)
         self._member.incarnation = max(self._member.incarnation, hello.incarnation)
-        self._take_load(hello.load)
+        self._apply_load(hello.load)
         if self._failures:
             self._links.events.state("link", "down", "up", self._member.host)
         self._failures = 0
-        self._heard_at = now()
+        self._last_received_at = now()
         self._connection = connection
-        self._up.set()
+        self._connected.set()
         self._links.opened(self._member, connection)
 
-    def beat(self):
+    def check_liveness(self):
         """Look after the connection: heartbeat, silence, disuse."""
         connection = self._connection
         if connection is None:
             return
-        quiet = now() - self._heard_at
-        if quiet > SILENT_SECONDS + (0 if self._awaits_pong else IDLE_PING_SECONDS):
+        quiet = now() - self._last_received_at
+        if quiet > SILENCE_TIMEOUT_SECONDS + (0 if self._awaiting_pong else IDLE_PING_SECONDS):
             # Failure: in a partition nothing breaks the connection, and a
             # listing that waits for its answer hangs until its deadline.
             # Broken from here, it is tried elsewhere, and a booking is asked
@@ -307,12 +309,12 @@
             if self._retired:
                 self.close()
         elif quiet >= (PING_SECONDS if self._pending else IDLE_PING_SECONDS):
-            self._awaits_pong = True
-            self._send_quietly(Ping(0, self._links.events.clock.tick()))
+            self._awaiting_pong = True
+            self._send_if_connected(Ping(0, self._links.events.clock.tick()))
 
-    def _lost(self):
+    def _on_connection_lost(self):
         was_up, self._connection = self._connection is not None, None
-        self._up.clear()
+        self._connected.clear()
         error = PeerError("connection lost", step="call", peer=self._member.host)
         for future in self._pending.values():
             if not future.done():
@@ -325,21 +327,21 @@
     # -- messages ---------------------------------------------------------
 
     @singledispatchmethod
-    def _take(self, message, body):
+    def _handle_message(self, message, body):
         self._links.take(self._member, message, body)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Answer | Refused | Unsure, body):
         self._links.events.clock.merge(message.clock)
-        self._take_load(message.load)
+        self._apply_load(message.load)
         self._reply(message, body)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Claimed, body):
         self._links.events.clock.merge(message.clock)
         self._reply(message, body)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: SendBody, body):
         call = self._calls.get(message.id)
         if call is not None:
@@ -354,14 +356,14 @@
             # The owner hears of the lost connection, and that the call did not run.
             self._links.metrics.count("unsent_notices")
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Pong, body):
         self._links.events.clock.merge(message.clock)
-        self._take_load(message.load)
+        self._apply_load(message.load)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: State, body):
-        self._take_load(message.load)
+        self._apply_load(message.load)
 
     def _reply(self, message, body):
         # A reply that comes twice, or after its caller was told something
@@ -373,7 +375,7 @@
             return
         future.set_result((message, body))
 
-    def _take_load(self, report):
+    def _apply_load(self, report):
         load = load_from(report)
         self._member.estimate.take_load(load)
         if load.state == ServerState.STOPPING:
--- a/caperstack/peers/links.py
+++ b/caperstack/peers/links.py
@@ -28,20 +28,20 @@
         self.members = kernel.find("members")
         self._owner = kernel.find("owner")
         self.members.listen(self._on_member)
-        self._heart = asyncio.create_task(self._beat())
+        self._liveness_task = asyncio.create_task(self._check_liveness_loop())
 
     async def stop(self):
         """Close all links."""
-        self._heart.cancel()
+        self._liveness_task.cancel()
         for link in (*self._links.values(), *self._retiring):
             link.close()
 
-    async def _beat(self):
+    async def _check_liveness_loop(self):
         # One task for all links: a timer for each took most of a link's cost.
         while True:
             await asyncio.sleep(PING_SECONDS)
             for link in (*self._links.values(), *self._retiring):
-                link.beat()
+                link.check_liveness()
             self._retiring = [link for link in self._retiring if not link.retired]
 
     def hello(self):
@@ -52,12 +52,12 @@
         """Return the TLS context for dialling, or ``None`` where plain is allowed."""
         return self._security.client_context()
 
-    def heard_from(self, host):
+    def on_peer_dialled(self, host):
         """The peer `host` has dialled this node: it lives, dial it as well."""
         link = self._links.get(host)
         if link is not None and link.connection is None:
             link.touch()
-            link.hurry()
+            link.redial_now()
 
     def hook(self, hook):
         """Let `hook` hear of links: ``opened``, ``closed`` and ``take``."""
--- a/caperstack/peers/port.py
+++ b/caperstack/peers/port.py
@@ -151,7 +151,7 @@
         self._accepted.add(task)
         task.add_done_callback(self._accepted.discard)
         try:
-            await self._greet(connection)
+            await self._perform_handshake(connection)
             await self._serve(connection)
         except Exception as error:
             # One peer's rubbish, or a fault of ours that it brought about,
@@ -165,7 +165,7 @@
                 for hook in self._hooks:
                     hook.closed(connection.hello.host)
 
-    async def _greet(self, connection):
+    async def _perform_handshake(self, connection):
         if self._strangers >= STRANGERS_MOST:
             raise PeerError("too many strangers", step="accept", peer=connection.address)
         self._strangers += 1
@@ -178,7 +178,7 @@
 
     async def _serve(self, connection):
         self._connections[connection] = True
-        self._links.heard_from(connection.hello.host)
+        self._links.on_peer_dialled(connection.hello.host)
         # Failure: the state changes between our hello and this line, nobody is
         # told, and the entry leaves a host alone that has just become ready,
         # until its next heartbeat two seconds later.
@@ -186,16 +186,16 @@
         for hook in self._hooks:
             hook.opened(connection.hello.host, connection)
         async for message, body in connection.messages():
-            self._take(message, body, connection)
+            self._handle_message(message, body, connection)
 
     # -- messages ---------------------------------------------------------
 
     @singledispatchmethod
-    def _take(self, message, body, connection):
+    def _handle_message(self, message, body, connection):
         for hook in self._hooks:
             hook.take(connection.hello.host, connection, message, body)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: CallMessage, body, connection):
         self._events.clock.merge(message.clock)
         lateness = connection.transit.lateness(message.sent_us / 1e6, connection.arrival)
@@ -205,11 +205,11 @@
         connection.interest.record_call()
         self._spawn(self._run(call, connection))
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: CallBody, body, connection):
         self._withheld.bring(connection, message.id, body)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Revoke, body, connection):
         origin = connection.hello.host
         if message.reply:
@@ -219,20 +219,20 @@
         else:
             self._owner.abandon(origin, message.id)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Ping, body, connection):
         self._events.clock.merge(message.clock)
         pong = Pong(message.id, self._report(connection), self._events.clock.tick())
         self._send(connection, pong)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Claim, body, connection):
         if self._keeper is None:
             return
         verdict, vouches = self._keeper.claim(message)
         self._send(connection, Claimed(message.id, verdict, vouches, self._events.clock.tick()))
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Settle, body, connection):
         if self._keeper is not None:
             self._keeper.settle(message)
