--- a/caperstack/node/drain.py
+++ b/caperstack/node/drain.py
@@ -59,7 +59,7 @@
     callers.begin_drain()
     await _until(plan.refuse_at)
     owner.leave()
-    peers.tell_state()
+    peers.push_state()
     noticed_at = deadline_after(NOTICE_SECONDS)
     await _until(plan.close_at)
     callers.stop_listening()
--- a/caperstack/peers/port.py
+++ b/caperstack/peers/port.py
@@ -30,17 +30,17 @@
 __all__ = ["PeerPort"]
 
 #: Connections that may be open without a finished handshake.
-STRANGERS_MOST = 64
+MAX_PENDING_HANDSHAKES = 64
 
 #: How often a changed load is pushed, and how much change is worth a push.
 PUSH_SECONDS = 0.1
-PUSH_FACTOR = 2.0
+MIN_SERVICE_TIME_FACTOR = 2.0
 
 #: How far the crowding must move to be worth a push, in calls a slot.
-PUSH_CROWDING = 0.25
+MIN_OCCUPANCY_CHANGE = 0.25
 
 #: How often at most a changed crowding alone is pushed, in seconds.
-PUSH_CROWDING_SECONDS = 0.3
+OCCUPANCY_PUSH_SECONDS = 0.3
 
 #: How long a stop waits for the tasks of closed connections, in seconds; they end
 #: in the next turns of the loop.
@@ -66,13 +66,13 @@
         self._connections = {}
         self._withheld = WithheldBodies()
         self._tasks = set()
-        self._accepted = set()
+        self._connection_tasks = set()
         self._calls = 0
-        self._strangers = 0
-        self._pushed = None
-        self._crowding_due = 0.0
-        self._pusher = None
-        self._keys_watcher = None
+        self._pending_handshakes = 0
+        self._last_pushed = None
+        self._occupancy_push_at = 0.0
+        self._push_task = None
+        self._key_watch_task = None
         self._context = None
         self._hooks = []
 
@@ -94,21 +94,21 @@
         self._keeper = kernel.find("keeper") if "keeper" in kernel.names else None
         self._links = kernel.find("links")
         await self._listen(self._security.server_context())
-        self._owner.listen(self.tell_state)
-        self._pusher = asyncio.create_task(self._push_for_ever())
-        self._keys_watcher = asyncio.create_task(self._watch_keys())
+        self._owner.listen(self.push_state)
+        self._push_task = asyncio.create_task(self._push_loop())
+        self._key_watch_task = asyncio.create_task(self._watch_keys())
 
     async def stop(self):
         """Close the port and all connections."""
-        self._pusher.cancel()
-        self._keys_watcher.cancel()
+        self._push_task.cancel()
+        self._key_watch_task.cancel()
         self._server.close()
         for connection in list(self._connections):
             connection.close()
         # Their tasks end with them.  Cancelled with the loop instead, each
         # leaves a traceback on standard error.
-        if self._accepted:
-            await asyncio.wait(self._accepted, timeout=STOP_SECONDS)
+        if self._connection_tasks:
+            await asyncio.wait(self._connection_tasks, timeout=STOP_SECONDS)
 
     async def _listen(self, context):
         self._context = context
@@ -140,7 +140,7 @@
         """Let `hook` hear of connections: ``opened``, ``closed`` and ``take``."""
         self._hooks.append(hook)
 
-    def tell_state(self):
+    def push_state(self):
         """Push the current load to all peers at once."""
         self._push(self._owner.load)
 
@@ -148,8 +148,8 @@
         address = ":".join(str(part) for part in writer.get_extra_info("peername")[:2])
         connection = PeerConnection(reader, writer, address, self._metrics)
         task = asyncio.current_task()
-        self._accepted.add(task)
-        task.add_done_callback(self._accepted.discard)
+        self._connection_tasks.add(task)
+        task.add_done_callback(self._connection_tasks.discard)
         try:
             await self._perform_handshake(connection)
             await self._serve(connection)
@@ -160,21 +160,21 @@
             self._events.add("peer", f"cut off {address}: {error}")
         finally:
             connection.abort()
-            self._withheld.drop(connection)
+            self._withheld.fail_all(connection)
             if self._connections.pop(connection, None):
                 for hook in self._hooks:
                     hook.closed(connection.hello.host)
 
     async def _perform_handshake(self, connection):
-        if self._strangers >= STRANGERS_MOST:
+        if self._pending_handshakes >= MAX_PENDING_HANDSHAKES:
             raise PeerError("too many strangers", step="accept", peer=connection.address)
-        self._strangers += 1
+        self._pending_handshakes += 1
         try:
             await connection.handshake(
                 hello_of(self._here, self._links.incarnation, self._owner.load)
             )
         finally:
-            self._strangers -= 1
+            self._pending_handshakes -= 1
 
     async def _serve(self, connection):
         self._connections[connection] = True
@@ -182,7 +182,7 @@
         # Failure: the state changes between our hello and this line, nobody is
         # told, and the entry leaves a host alone that has just become ready,
         # until its next heartbeat two seconds later.
-        self._tell_load(connection)
+        self._send_load(connection)
         for hook in self._hooks:
             hook.opened(connection.hello.host, connection)
         async for message, body in connection.messages():
@@ -207,7 +207,7 @@
 
     @_handle_message.register
     def _(self, message: CallBody, body, connection):
-        self._withheld.bring(connection, message.id, body)
+        self._withheld.deliver(connection, message.id, body)
 
     @_handle_message.register
     def _(self, message: Revoke, body, connection):
@@ -222,7 +222,7 @@
     @_handle_message.register
     def _(self, message: Ping, body, connection):
         self._events.clock.merge(message.clock)
-        pong = Pong(message.id, self._report(connection), self._events.clock.tick())
+        pong = Pong(message.id, self._record_and_report_load(connection), self._events.clock.tick())
         self._send(connection, pong)
 
     @_handle_message.register
@@ -248,7 +248,7 @@
         begun = now()
         self._calls += 1
         try:
-            outcome = await self._owner.run(call, lambda: self._tell_load(connection))
+            outcome = await self._owner.run(call, lambda: self._send_load(connection))
             self._events.call("owner", call, outcome, begun)
             await self._reply(call.id, outcome, connection)
         finally:
@@ -264,7 +264,7 @@
             self._calls -= 1
 
     async def _reply(self, number, outcome, connection):
-        report = self._report(connection)
+        report = self._record_and_report_load(connection)
         message, body = reply_to(outcome, number, report, self._events.clock.tick())
         try:
             await connection.send_in_chunks(message, body)
@@ -272,12 +272,12 @@
             # The entry will ask again over a new connection: Owner remembers.
             self._metrics.count("replies_without_connection")
 
-    def _tell_load(self, connection):
+    def _send_load(self, connection):
         # A call that waits brings no answer for long, and its entry would go
         # on sending: it hears of the queue at once.
-        self._send(connection, State(self._report(connection)))
+        self._send(connection, State(self._record_and_report_load(connection)))
 
-    def _report(self, connection):
+    def _record_and_report_load(self, connection):
         """Return the report of the load now, which the entry is told."""
         load = self._owner.load
         connection.interest.record_load(load)
@@ -291,15 +291,15 @@
 
     # -- load -------------------------------------------------------------
 
-    async def _push_for_ever(self):
+    async def _push_loop(self):
         while True:
             await asyncio.sleep(PUSH_SECONDS)
             load = self._owner.load
-            if self._worth_telling(load):
+            if self._is_significant_change(load):
                 self._push(load)
-            self._drop_silent()
+            self._drop_silent_connections()
 
-    def _drop_silent(self):
+    def _drop_silent_connections(self):
         # An entry pings an idle connection every few seconds.  One that is
         # silent for long is gone without a word, and what waits to be sent to
         # it would hold memory for ever.
@@ -308,15 +308,18 @@
             if connection.arrival < limit:
                 connection.abort()
 
-    def _worth_telling(self, load):
-        last = self._pushed
+    def _is_significant_change(self, load):
+        last = self._last_pushed
         if last is None or load.state != last.state:
             return True
-        if now() >= self._crowding_due and _moved(load, last) >= PUSH_CROWDING:
+        if (
+            now() >= self._occupancy_push_at
+            and _occupancy_change(load, last) >= MIN_OCCUPANCY_CHANGE
+        ):
             return True
         before = max(1, last.service_us)
         after = max(1, load.service_us)
-        return not 1 / PUSH_FACTOR < after / before < PUSH_FACTOR
+        return not 1 / MIN_SERVICE_TIME_FACTOR < after / before < MIN_SERVICE_TIME_FACTOR
 
     def _push(self, load):
         """Tell `load` to the entries that have use for it, and a changed state to all.
@@ -328,9 +331,9 @@
         they were not told, and left it alone until their next heartbeat two
         seconds later; a call whose other servers were gone was refused.
         """
-        changed = self._pushed is None or load.state != self._pushed.state
-        self._pushed = load
-        self._crowding_due = deadline_after(PUSH_CROWDING_SECONDS)
+        changed = self._last_pushed is None or load.state != self._last_pushed.state
+        self._last_pushed = load
+        self._occupancy_push_at = deadline_after(OCCUPANCY_PUSH_SECONDS)
         message = State(load_report(load))
         for connection in list(self._connections):
             if changed or connection.interest.wants_update(load):
@@ -338,10 +341,10 @@
                 self._send(connection, message)
 
 
-def _moved(load, last):
+def _occupancy_change(load, last):
     """Return how far the crowding has moved, in calls a slot."""
-    return abs(_crowding(load) - _crowding(last))
+    return abs(_occupancy(load) - _occupancy(last))
 
 
-def _crowding(load):
+def _occupancy(load):
     return (load.in_flight + load.queued) / max(1, load.limit)
--- a/caperstack/peers/tests/test_port.py
+++ b/caperstack/peers/tests/test_port.py
@@ -23,7 +23,7 @@
 
 
 class TestPushes(unittest.TestCase):
-    """`PeerPort.tell_state` with one entry that calls here and one that does not."""
+    """`PeerPort.push_state` with one entry that calls here and one that does not."""
 
     def setUp(self):
         self.port = PeerPort(None, None)
@@ -31,11 +31,11 @@
         self.caller = FakeConnection(now())
         self.other = FakeConnection(now() - 2 * CALLS_SECONDS)
         self.port._connections = {self.caller: True, self.other: True}
-        self.port.tell_state()
+        self.port.push_state()
 
     def tell(self, **changes):
         self.owner.load = replace(self.owner.load, **changes)
-        self.port.tell_state()
+        self.port.push_state()
 
     def test_state_that_changes_is_told_to_all(self):
         # A server's entry was gone and is back.  An entry that took it for
--- a/caperstack/peers/withheld.py
+++ b/caperstack/peers/withheld.py
@@ -24,13 +24,13 @@
         """Nobody waits for that body any more."""
         self._expected.pop((connection, number), None)
 
-    def bring(self, connection, number, body):
+    def deliver(self, connection, number, body):
         """Take a body that has come."""
         future = self._expected.pop((connection, number), None)
         if future is not None and not future.done():
             future.set_result(body)
 
-    def drop(self, connection):
+    def fail_all(self, connection):
         """A connection is closed: what it was to bring does not come."""
         for key in [key for key in self._expected if key[0] is connection]:
             future = self._expected.pop(key)
