--- a/caperstack/peers/security.py
+++ b/caperstack/peers/security.py
@@ -7,7 +7,7 @@
 from caperstack.clock import deadline_after, now
 from caperstack.exception import ConfigurationError
 
-__all__ = ["PeerSecurity", "Plain"]
+__all__ = ["PeerSecurity", "PlaintextSecurity"]
 
 #: How long a loaded key is used before its source is read again, in seconds.
 RELOAD_SECONDS = 10.0
@@ -16,7 +16,7 @@
 
 
 @contextmanager
-def _as_path(source):
+def _pem_path(source):
     """Yield a path for `source`, which is a path or PEM text.
 
     Notes
@@ -35,7 +35,7 @@
         os.close(descriptor)
 
 
-def _text_of(source):
+def _read_pem(source):
     if _PEM_MARK in source:
         return source
     with open(source, encoding="utf-8") as file:
@@ -54,8 +54,8 @@
     def __init__(self, settings):
         self._settings = settings
         self._contexts = {}
-        self._loaded = {}
-        self._fresh_until = {}
+        self._loaded_pems = {}
+        self._reload_at = {}
 
     async def start(self, kernel):
         """Load the keys once, so that a wrong one shows at the start."""
@@ -68,23 +68,23 @@
 
     def client_context(self):
         """Return the context for dialling, or ``None``."""
-        return self._current(ssl.PROTOCOL_TLS_CLIENT)
+        return self._current_context(ssl.PROTOCOL_TLS_CLIENT)
 
     def server_context(self):
         """Return the context for accepting, or ``None``."""
-        return self._current(ssl.PROTOCOL_TLS_SERVER)
+        return self._current_context(ssl.PROTOCOL_TLS_SERVER)
 
-    def _current(self, protocol):
+    def _current_context(self, protocol):
         if self._settings.mode == "plain":
             return None
-        if now() < self._fresh_until.get(protocol, 0.0):
+        if now() < self._reload_at.get(protocol, 0.0):
             return self._contexts[protocol]
-        self._fresh_until[protocol] = deadline_after(RELOAD_SECONDS)
+        self._reload_at[protocol] = deadline_after(RELOAD_SECONDS)
         try:
-            sources = self._sources()
-            if sources != self._loaded.get(protocol):
+            sources = self._read_sources()
+            if sources != self._loaded_pems.get(protocol):
                 self._contexts[protocol] = self._load(protocol)
-                self._loaded[protocol] = sources
+                self._loaded_pems[protocol] = sources
         except (OSError, ssl.SSLError) as error:
             if protocol not in self._contexts:
                 raise ConfigurationError(
@@ -94,11 +94,11 @@
             self._events.state("peer keys", "in force", f"kept, new ones unreadable: {error}")
         return self._contexts[protocol]
 
-    def _sources(self):
+    def _read_sources(self):
         """Return the text of certificate, key and authorities."""
         settings = self._settings
         return tuple(
-            _text_of(source)
+            _read_pem(source)
             for source in (settings.certificate, settings.key, settings.authorities)
         )
 
@@ -109,16 +109,16 @@
         context.check_hostname = False
         context.verify_mode = ssl.CERT_REQUIRED
         with (
-            _as_path(self._settings.certificate) as certificate,
-            _as_path(self._settings.key) as key,
-            _as_path(self._settings.authorities) as authorities,
+            _pem_path(self._settings.certificate) as certificate,
+            _pem_path(self._settings.key) as key,
+            _pem_path(self._settings.authorities) as authorities,
         ):
             context.load_cert_chain(certificate, key)
             context.load_verify_locations(authorities)
         return context
 
 
-class Plain:
+class PlaintextSecurity:
     """No TLS between nodes: the network that they share is trusted."""
 
     def server_context(self):
--- a/caperstack/platform/assemble.py
+++ b/caperstack/platform/assemble.py
@@ -13,7 +13,7 @@
 from caperstack.pauses import PauseWatch
 from caperstack.peers.links import Links
 from caperstack.peers.port import PeerPort
-from caperstack.peers.security import Plain
+from caperstack.peers.security import PlaintextSecurity
 from caperstack.platform.fleet import FleetView
 from caperstack.platform.items import StoreCodec
 from caperstack.platform.names import DIALECT
@@ -44,7 +44,7 @@
     """
     here = boot.here
     kernel = Kernel()
-    plain = Plain()
+    plain = PlaintextSecurity()
     metrics = Metrics(here.host)
     restores = Restores(boot.heartbeat_seconds)
     codec = StoreCodec(restores)
