--- a/caperstack/peers/link.py
+++ b/caperstack/peers/link.py
@@ -23,7 +23,7 @@
     State,
     Unsure,
 )
-from caperstack.peers.translate import call_message, load_from, outcome_from
+from caperstack.peers.translate import call_message, load_from_report, outcome_from_reply
 
 __all__ = ["Link", "PING_SECONDS"]
 
@@ -155,7 +155,7 @@
         finally:
             self._pending.pop(call.id, None)
             del self._calls[call.id]
-        return outcome_from(message, body)
+        return outcome_from_reply(message, body)
 
     async def resolve(self, call):
         """Ask the owner how a call ended whose connection was lost.
@@ -177,7 +177,7 @@
             return Unknown("connection to the owner was lost")
         finally:
             self._pending.pop(call.id, None)
-        return outcome_from(message, body)
+        return outcome_from_reply(message, body)
 
     async def ask(self, message, deadline):
         """Send a message that has a reply with the same ``id``; return the reply.
@@ -376,7 +376,7 @@
         future.set_result((message, body))
 
     def _apply_load(self, report):
-        load = load_from(report)
+        load = load_from_report(report)
         self._member.estimate.take_load(load)
         if load.state == ServerState.STOPPING:
             self._links.members.mark_leaving(self._member.host, self._member.incarnation)
--- a/caperstack/peers/links.py
+++ b/caperstack/peers/links.py
@@ -5,7 +5,7 @@
 from caperstack.admission.local import LocalOwner
 from caperstack.clock import wall_microseconds
 from caperstack.peers.link import PING_SECONDS, Link
-from caperstack.peers.translate import hello_of
+from caperstack.peers.translate import hello_message
 
 __all__ = ["Links"]
 
@@ -46,7 +46,7 @@
 
     def hello(self):
         """Return this node's hello."""
-        return hello_of(self._here, self.incarnation, self._owner.load)
+        return hello_message(self._here, self.incarnation, self._owner.load)
 
     def client_tls(self):
         """Return the TLS context for dialling, or ``None`` where plain is allowed."""
--- a/caperstack/peers/messages.py
+++ b/caperstack/peers/messages.py
@@ -37,16 +37,16 @@
 
 
 #: More ends of one request than a node keeps are never told of it.
-ENDS_TOLD_MOST = 32
+MAX_SUSPECTED_ENDS = 32
 
 _Hash = Annotated[int, msgspec.Meta(ge=0)]
 
 
-class _Message(msgspec.Struct, array_like=True, gc=False):
+class _MessageStruct(msgspec.Struct, array_like=True, gc=False):
     pass
 
 
-class LoadReport(_Message):
+class LoadReport(_MessageStruct):
     """A `caperstack.calls.model.Load` on the wire."""
 
     in_flight: int
@@ -59,7 +59,7 @@
     pace: int
 
 
-class Hello(_Message, tag=1):
+class Hello(_MessageStruct, tag=1):
     """The first message of each side; ``sent_us`` is the sender's monotonic clock."""
 
     version: int
@@ -71,7 +71,7 @@
     load: LoadReport
 
 
-class CallMessage(_Message, tag=2):
+class CallMessage(_MessageStruct, tag=2):
     """A call for the owner's backend server; times are in microseconds.
 
     With ``withheld`` its body comes later, when the owner asks for it.
@@ -99,20 +99,20 @@
     withheld: bool = False
 
 
-class SendBody(_Message, tag=21):
+class SendBody(_MessageStruct, tag=21):
     """The owner is about to run a call whose body the entry has kept."""
 
     id: int
 
 
-class CallBody(_Message, tag=22):
+class CallBody(_MessageStruct, tag=22):
     """The body of a call; it follows."""
 
     id: int
     size: int
 
 
-class Answer(_Message, tag=3):
+class Answer(_MessageStruct, tag=3):
     """The backend server's answer; the body follows."""
 
     id: int
@@ -124,7 +124,7 @@
     clock: int
 
 
-class Refused(_Message, tag=4):
+class Refused(_MessageStruct, tag=4):
     """Proof by the owner that the call did not run and will not."""
 
     id: int
@@ -135,7 +135,7 @@
     offered: bool
 
 
-class Unsure(_Message, tag=5):
+class Unsure(_MessageStruct, tag=5):
     """The owner sent the call to its backend server and got no whole answer.
 
     ``end`` names the end of the server with the call at work; 0 if it lives.
@@ -149,7 +149,7 @@
     end: int
 
 
-class Revoke(_Message, tag=6):
+class Revoke(_MessageStruct, tag=6):
     """The entry gives a call up; with ``reply`` it wants to know how it ended.
 
     Without ``reply`` the owner cancels what it can and says nothing.
@@ -163,20 +163,20 @@
     sent_us: int = 0
 
 
-class Chunk(_Message, tag=7):
+class Chunk(_MessageStruct, tag=7):
     """A further part of the body of message ``id``."""
 
     id: int
 
 
-class Ping(_Message, tag=8):
+class Ping(_MessageStruct, tag=8):
     """A heartbeat that wants a `Pong`."""
 
     id: int
     clock: int
 
 
-class Pong(_Message, tag=9):
+class Pong(_MessageStruct, tag=9):
     """The reply to a `Ping`."""
 
     id: int
@@ -184,13 +184,13 @@
     clock: int
 
 
-class State(_Message, tag=10):
+class State(_MessageStruct, tag=10):
     """The owner's load or state changed enough to say so unasked."""
 
     load: LoadReport
 
 
-class Claim(_Message, tag=11):
+class Claim(_MessageStruct, tag=11):
     """Ask a keeper to record an idempotency key.
 
     ``born_us`` is 0 for a key whose birth cannot be read; ``keepers`` are all
@@ -207,7 +207,7 @@
     window_us: int
 
 
-class Claimed(_Message, tag=12):
+class Claimed(_MessageStruct, tag=12):
     """The keeper's verdict on a claim, a `caperstack.idempotency.keeper.Verdict`."""
 
     id: int
@@ -216,7 +216,7 @@
     clock: int
 
 
-class Settle(_Message, tag=13):
+class Settle(_MessageStruct, tag=13):
     """How the holder's call under a key ended: ``ran`` is false only on proof."""
 
     service: str
@@ -225,7 +225,7 @@
     ran: bool
 
 
-class Revisions(_Message, tag=14):
+class Revisions(_MessageStruct, tag=14):
     """Revisions of subtrees that the sender holds; with ``buckets`` all in those.
 
     To the list of whole buckets the receiver replies with what it holds higher there.
@@ -235,7 +235,7 @@
     buckets: list[int] = []
 
 
-class Digest(_Message, tag=18):
+class Digest(_MessageStruct, tag=18):
     """A number that is equal where all revisions are equal.
 
     With ``reading`` it tells that the platform was read, ``read_age_us`` ago at
@@ -251,7 +251,7 @@
     era_age_us: int = 0
 
 
-class Buckets(_Message, tag=19):
+class Buckets(_MessageStruct, tag=19):
     """The sender's digest, and that of each bucket of subtrees.
 
     The receiver replies with its revisions in the buckets that differ.
@@ -261,13 +261,13 @@
     values: list[int]
 
 
-class Fetch(_Message, tag=15):
+class Fetch(_MessageStruct, tag=15):
     """Ask for the bodies of subtrees."""
 
     paths: list[str]
 
 
-class SubtreeBody(_Message, tag=16):
+class SubtreeBody(_MessageStruct, tag=16):
     """A subtree at a revision, deleted or with its JSON text, packed by zlib, as the body."""
 
     id: int
@@ -277,7 +277,7 @@
     deleted: bool
 
 
-class SuspectedEnd(_Message):
+class SuspectedEnd(_MessageStruct):
     """A `caperstack.quarantine.suspects.End` on the wire."""
 
     number: _Hash
@@ -285,14 +285,14 @@
     clearing: Annotated[int, msgspec.Meta(ge=0, le=2)]
 
 
-class SuspicionReport(_Message):
+class SuspicionReport(_MessageStruct):
     """A `caperstack.quarantine.suspects.Suspicion` on the wire."""
 
     request: _Hash
-    ends: Annotated[list[SuspectedEnd], msgspec.Meta(max_length=ENDS_TOLD_MOST)]
+    ends: Annotated[list[SuspectedEnd], msgspec.Meta(max_length=MAX_SUSPECTED_ENDS)]
 
 
-class Suspicions(_Message, tag=20):
+class Suspicions(_MessageStruct, tag=20):
     """What the sender knows of requests that were at work when servers ended."""
 
     items: list[SuspicionReport]
--- a/caperstack/peers/port.py
+++ b/caperstack/peers/port.py
@@ -24,7 +24,12 @@
     State,
 )
 from caperstack.peers.security import RELOAD_SECONDS
-from caperstack.peers.translate import call_from, hello_of, load_report, reply_to
+from caperstack.peers.translate import (
+    call_from_message,
+    hello_message,
+    load_report,
+    reply_for_outcome,
+)
 from caperstack.peers.withheld import WithheldBodies, WithheldBody
 
 __all__ = ["PeerPort"]
@@ -171,7 +176,7 @@
         self._pending_handshakes += 1
         try:
             await connection.handshake(
-                hello_of(self._here, self._links.incarnation, self._owner.load)
+                hello_message(self._here, self._links.incarnation, self._owner.load)
             )
         finally:
             self._pending_handshakes -= 1
@@ -199,7 +204,7 @@
     def _(self, message: CallMessage, body, connection):
         self._events.clock.merge(message.clock)
         lateness = connection.transit.lateness(message.sent_us / 1e6, connection.arrival)
-        call = call_from(message, body, connection.hello.host, connection.arrival, lateness)
+        call = call_from_message(message, body, connection.hello.host, connection.arrival, lateness)
         if message.withheld:
             call.withheld = WithheldBody(self._withheld, connection, message.id)
         connection.interest.record_call()
@@ -265,7 +270,7 @@
 
     async def _reply(self, number, outcome, connection):
         report = self._record_and_report_load(connection)
-        message, body = reply_to(outcome, number, report, self._events.clock.tick())
+        message, body = reply_for_outcome(outcome, number, report, self._events.clock.tick())
         try:
             await connection.send_in_chunks(message, body)
         except (PeerError, ConnectionError):
--- a/caperstack/peers/translate.py
+++ b/caperstack/peers/translate.py
@@ -19,13 +19,13 @@
 from caperstack.quarantine.suspects import End, Suspicion
 
 __all__ = [
-    "hello_of",
-    "call_from",
+    "hello_message",
+    "call_from_message",
     "call_message",
-    "load_from",
+    "load_from_report",
     "load_report",
-    "outcome_from",
-    "reply_to",
+    "outcome_from_reply",
+    "reply_for_outcome",
     "suspicion_from",
     "suspicion_message",
 ]
@@ -45,7 +45,7 @@
     )
 
 
-def load_from(report):
+def load_from_report(report):
     """Return the `Load` of a `LoadReport`."""
     return Load(
         report.in_flight,
@@ -88,7 +88,7 @@
     )
 
 
-def call_from(message, body, origin, arrival, lateness):
+def call_from_message(message, body, origin, arrival, lateness):
     """Return the `Call` of a `CallMessage`, with deadlines on the local clock.
 
     Parameters
@@ -122,7 +122,7 @@
     )
 
 
-def hello_of(here, incarnation, load):
+def hello_message(here, incarnation, load):
     """Return the `Hello` of this node."""
     return Hello(
         VERSION,
@@ -136,12 +136,12 @@
 
 
 @singledispatch
-def reply_to(outcome, number, report, clock):
+def reply_for_outcome(outcome, number, report, clock):
     """Return ``(message, body)`` that tells `outcome` of call `number`."""
     raise TypeError(f"no such outcome: {outcome!r}")
 
 
-@reply_to.register
+@reply_for_outcome.register
 def _(outcome: Answered, number, report, clock):
     message = Answer(
         number, len(outcome.body), outcome.status, outcome.reason, outcome.headers, report, clock
@@ -149,34 +149,34 @@
     return message, outcome.body
 
 
-@reply_to.register
+@reply_for_outcome.register
 def _(outcome: NotRun, number, report, clock):
     wait = int(outcome.retry_after * 1000)
     return Refused(number, outcome.reason, wait, report, clock, outcome.offered), b""
 
 
-@reply_to.register
+@reply_for_outcome.register
 def _(outcome: Unknown, number, report, clock):
     return Unsure(number, outcome.reason, outcome.status, report, clock, outcome.end), b""
 
 
 @singledispatch
-def outcome_from(message, body):
+def outcome_from_reply(message, body):
     """Return the outcome that a reply tells."""
     raise TypeError(f"no outcome: {message!r}")
 
 
-@outcome_from.register
+@outcome_from_reply.register
 def _(message: Answer, body):
     return Answered(message.status, message.reason, message.headers, body)
 
 
-@outcome_from.register
+@outcome_from_reply.register
 def _(message: Refused, body):
     return NotRun(message.reason, message.retry_after_ms / 1000, offered=message.offered)
 
 
-@outcome_from.register
+@outcome_from_reply.register
 def _(message: Unsure, body):
     return Unknown(message.reason, message.status, message.end)
 
