--- a/caperstack/peers/interest.py
+++ b/caperstack/peers/interest.py
@@ -1,28 +1,29 @@
-"""Which entries have use for news of an owner's load."""
+"""Decide which entries an owner sends load updates to."""
 
 from caperstack.calls.model import SLOWED_PACE
 from caperstack.clock import deadline_after, now
 
 __all__ = ["CALLS_SECONDS", "LoadInterest"]
 
-#: An entry that has not called for so long is not told of loads, in seconds; it
-#: hears of them with the answer to its next call.  News of a neighbour's visit
-#: is good for 0.3 s and costs a message of 60 bytes; without it a call that goes
-#: there is refused and moves on, at 350 bytes and a way of one or two
-#: milliseconds.  So a message pays where the next call comes within 1.7 s.
+#: An entry that has not called for this many seconds gets no load updates; it
+#: reads the load from the answer to its next call.  A slow phase caused by another
+#: tenant of the host lasts about 0.3 s, and an update costs 60 bytes.  Without it, a
+#: call sent there is refused and sent elsewhere, which costs 350 bytes and 1 to 2 ms.
+#: An update therefore pays off if the next call comes within 1.7 s.
 CALLS_SECONDS = 1.7
 
 
 class LoadInterest:
-    """Whether one entry has use for news, from when it called and what it was told.
+    """Decide whether one entry needs load updates, from its calls and the last load it got.
 
     Notes
     -----
-    Which load it answers: many servers, and few calls from each entry to each.
-    Told to all who had called in the last five seconds, a node among 81 sent
-    1,219 loads and 208 calls in a minute.  A play of 60 hosts told 364,000 loads so
-    and tells 171,000 (three seeds); its callers earn 0.984 in place of 0.986 (four
-    seeds, which lie 0.033 apart).
+    Load updates dominate the traffic where there are many servers and each entry
+    rarely calls any one of them.  When updates went to every entry that had called in
+    the last 5 s, a node among 81 sent 1,219 updates and 208 calls in a minute.  In a
+    simulation of 60 hosts (three seeds), 1.7 s instead of 5 s reduces the updates from
+    364,000 to 171,000; the share of the callers' worth that is earned falls from 0.986 to
+    0.984 (four seeds, which differ by 0.033 among themselves).
     """
 
     def __init__(self):
@@ -30,21 +31,22 @@
         self._last_load_slowed = False
 
     def record_call(self):
-        """The entry has sent a call."""
+        """Record that the entry has sent a call."""
         self._active_until = deadline_after(CALLS_SECONDS)
 
     def record_load(self, load):
-        """The entry was told `load`, with an answer or by itself."""
+        """Record that `load` was sent to the entry, with an answer or as an update."""
         self._last_load_slowed = _is_slowed(load)
 
     def wants_update(self, load):
-        """Return whether to tell the entry `load` by itself.
+        """Return whether to send `load` to the entry as an update.
 
         Notes
         -----
-        Failure: an entry is refused since the host is slowed, and does not
-        call again.  For two seconds it takes the host for slowed, though the
-        neighbour left after 0.2.  Whoever was told of a visit hears of its end.
+        An entry that last heard that the host is slowed is also told when the slow
+        phase ends.  Without that, an entry whose call was refused for the slow phase
+        stops calling and avoids the host for 2 s, although the phase may have ended
+        after 0.2 s.
         """
         return now() < self._active_until or (self._last_load_slowed and not _is_slowed(load))
 
--- a/caperstack/peers/link.py
+++ b/caperstack/peers/link.py
@@ -1,4 +1,4 @@
-"""A link: the way to a remote owner, a connection that is dialled again when lost."""
+"""The client side of the peer protocol: a reconnecting link to one remote owner."""
 
 import asyncio
 import contextlib
@@ -31,31 +31,31 @@
 REDIAL_SECONDS = 0.1
 MAX_REDIAL_SECONDS = 2.0
 
-#: Heartbeats: what is heard on a link is one.  Without, a ping goes out after
-#: 0.4 s where calls wait and after two seconds on an idle link; after 1.2 s the
-#: silence counts.  A listing whose owner is cut off or paused can then still be
-#: answered elsewhere within its two seconds; TCP repeats a lost packet after
-#: 0.2 to 0.6 s, so two losses in a row do not count as silence.
+#: Any received message counts as a heartbeat.  If none arrives, a ping is sent after
+#: 0.4 s while calls are pending and after 2 s on an idle link.  After 1.2 s of silence
+#: the connection counts as lost, so that a read call whose owner is unreachable or
+#: paused can still be answered by another owner within its 2 s deadline.  TCP
+#: retransmits a lost packet after 0.2 to 0.6 s, so two losses in a row are tolerated.
 PING_SECONDS = 0.4
 IDLE_PING_SECONDS = 2.0
 SILENCE_TIMEOUT_SECONDS = 1.2
 
-#: How long a link that nobody used stays open.
+#: Idle time after which an unused link is closed.
 IDLE_CLOSE_SECONDS = 60.0
 
-#: How long the entry waits beyond the deadline for the owner's own word.
+#: How long the entry waits beyond a call's deadline for the owner to report the outcome.
 DEADLINE_GRACE_SECONDS = 0.05
 
 
 class Link:
-    """The way to a remote owner: a connection that is dialled again when lost.
+    """A link to one remote owner over a connection that is redialled when lost.
 
     Parameters
     ----------
     member : caperstack.membership.members.Member
         The peer.
-    links : Links
-        The service that holds this link.
+    links : caperstack.peers.links.Links
+        The service that manages this link.
     """
 
     def __init__(self, member, links):
@@ -77,12 +77,12 @@
 
     @property
     def retired(self):
-        """Whether the link is to close, and has."""
+        """Whether the link was retired and its task has ended."""
         return self._retired and (self._task is None or self._task.done())
 
     @property
     def usable(self):
-        """Whether calls can be sent now; a link not yet tried counts as usable."""
+        """Whether calls can be sent now; a link that was never dialled counts as usable."""
         if self._connection is None:
             return self._failures == 0
         return not self._awaiting_pong or now() - self._last_received_at < SILENCE_TIMEOUT_SECONDS
@@ -93,7 +93,7 @@
         return self._connection
 
     def touch(self):
-        """Open the link if it is closed, and keep it open for a while."""
+        """Open the link if it is closed, and restart its idle timeout."""
         if self._retired:
             return
         self._used_until = deadline_after(IDLE_CLOSE_SECONDS)
@@ -101,20 +101,22 @@
             self._task = asyncio.create_task(self._maintain_connection())
 
     def freshen(self, estimate):
-        """Nothing: a remote load is known as it was last told."""
+        """Do nothing: the owner pushes load updates, they are not polled."""
 
     def redial_now(self):
-        """The peer was heard of: dial it now rather than after the next wait."""
+        """Dial now instead of after the current redial delay."""
         self._redial_requested.set()
 
     def retire(self):
-        """The member is no longer listed: finish what is out, then close for good.
+        """Close the link for good once its pending calls have ended.
+
+        Called when the member is no longer listed.
 
         Notes
         -----
-        Failure: a backend server leaves in peace, its entry is removed while
-        calls still run there, and the link is closed under them; their callers
-        hear that nobody knows whether they ran, though the answers come.
+        A backend server that shuts down gracefully is removed from the host list while
+        calls still run there.  Closing the link at once would report their outcome as
+        unknown to the callers, although the answers are still to come.
         """
         self._retired = True
         self._used_until = 0.0
@@ -122,19 +124,19 @@
             self.close()
 
     def close(self):
-        """Close the link for good."""
+        """Close the link for good, without waiting for pending calls."""
         if self._task is not None:
             self._task.cancel()
 
     # -- calls ------------------------------------------------------------
 
     async def run(self, call):
-        """Send `call` to the owner and return the outcome it tells.
+        """Send `call` to the owner and return the outcome that it reports.
 
         Raises
         ------
         PeerError
-            If the link fails; ``sent`` tells whether the call may have
+            If the link fails; its ``sent`` attribute tells whether the call may have
             reached the owner.
         """
         connection = await self._open(call.deadline)
@@ -158,13 +160,14 @@
         return outcome_from_reply(message, body)
 
     async def resolve(self, call):
-        """Ask the owner how a call ended whose connection was lost.
+        """Revoke a call whose connection was lost and return its outcome.
 
         Returns
         -------
         Outcome
-            `NotRun` if the owner revoked it or never got it, which it will
-            remember; `Unknown` if the owner cannot be asked in time.
+            `NotRun` if the owner revoked the call or never received it; the owner then
+            also refuses a copy that arrives later.  `Unknown` if the owner cannot be
+            reached by the call's deadline.
         """
         try:
             connection = await self._open(call.deadline)
@@ -180,12 +183,12 @@
         return outcome_from_reply(message, body)
 
     async def ask(self, message, deadline):
-        """Send a message that has a reply with the same ``id``; return the reply.
+        """Send a request message and return the reply, which has the same ``id``.
 
         Raises
         ------
         PeerError
-            If there is none by `deadline`.
+            If no reply arrives by `deadline`.
         """
         connection = await self._open(deadline)
         message.id = -next(self._numbers)
@@ -201,7 +204,7 @@
         return reply
 
     def tell(self, message):
-        """Send a message that needs no reply, if the link is open."""
+        """Send a message that needs no reply; drop it if the link is down."""
         self._send_if_connected(message)
 
     def _expect(self, number):
@@ -240,8 +243,8 @@
             try:
                 await self._serve_one_connection()
             except Exception as error:
-                # Whatever is wrong with one connection, the link is dialled
-                # again; a fault of ours shows in the count by its kind.
+                # Redial after any error.  Programming errors show up in the
+                # metric under their exception class.
                 self._failures += 1
                 self._links.metrics.count("link_failures", kind=type(error).__name__)
                 if self._failures == 1:
@@ -292,16 +295,16 @@
         self._links.opened(self._member, connection)
 
     def check_liveness(self):
-        """Look after the connection: heartbeat, silence, disuse."""
+        """Send a ping, drop a silent connection or close an idle one, as needed."""
         connection = self._connection
         if connection is None:
             return
         quiet = now() - self._last_received_at
         if quiet > SILENCE_TIMEOUT_SECONDS + (0 if self._awaiting_pong else IDLE_PING_SECONDS):
-            # Failure: in a partition nothing breaks the connection, and a
-            # listing that waits for its answer hangs until its deadline.
-            # Broken from here, it is tried elsewhere, and a booking is asked
-            # after over a new connection.
+            # A network partition doesn't close the TCP connection, and a call
+            # would wait for its answer until its deadline.  After the abort an
+            # idempotent call is retried at another owner, and the outcome of any
+            # other call is queried over a new connection.
             self._member.estimate.mark_down()
             connection.abort()
         elif now() > self._used_until and not self._pending:
@@ -353,7 +356,7 @@
         try:
             await connection.send_in_chunks(CallBody(call.id, len(call.body)), call.body)
         except (PeerError, ConnectionError):
-            # The owner hears of the lost connection, and that the call did not run.
+            # The owner notices the lost connection itself and doesn't run the call.
             self._links.metrics.count("unsent_notices")
 
     @_handle_message.register
@@ -366,9 +369,9 @@
         self._apply_load(message.load)
 
     def _reply(self, message, body):
-        # A reply that comes twice, or after its caller was told something
-        # else, finds nobody waiting under its number: it is counted and
-        # dropped, and no other call can get it.
+        # A duplicate reply, or one that arrives after its call has ended, has no
+        # pending future and is counted and dropped.  Ids are not reused, so it can't
+        # be taken for the reply to another call.
         future = self._pending.pop(message.id, None)
         if future is None or future.done():
             self._links.metrics.count("late_replies")
--- a/caperstack/peers/links.py
+++ b/caperstack/peers/links.py
@@ -1,4 +1,4 @@
-"""The links of a node: one to each member that it calls."""
+"""Manage the links of a node, one to each remote member."""
 
 import asyncio
 
@@ -11,7 +11,15 @@
 
 
 class Links:
-    """The service that holds a link to each member that is called."""
+    """Manage a link to each remote member and notify observers of their connections.
+
+    Parameters
+    ----------
+    here : caperstack.config.here.Here
+        This node's identity and addresses.
+    security : PeerSecurity or PlaintextSecurity
+        Supplies the TLS context for dialling.
+    """
 
     def __init__(self, here, security):
         self._here = here
@@ -22,7 +30,7 @@
         self.incarnation = wall_microseconds()
 
     async def start(self, kernel):
-        """Make the way to each member."""
+        """Follow the member list and start the liveness checks."""
         self.events = kernel.find("events")
         self.metrics = kernel.find("metrics")
         self.members = kernel.find("members")
@@ -37,7 +45,7 @@
             link.close()
 
     async def _check_liveness_loop(self):
-        # One task for all links: a timer for each took most of a link's cost.
+        # One task serves all links: a timer per link was most of the cost of a link.
         while True:
             await asyncio.sleep(PING_SECONDS)
             for link in (*self._links.values(), *self._retiring):
@@ -45,36 +53,36 @@
             self._retiring = [link for link in self._retiring if not link.retired]
 
     def hello(self):
-        """Return this node's hello."""
+        """Return the `Hello` message of this node."""
         return hello_message(self._here, self.incarnation, self._owner.load)
 
     def client_tls(self):
-        """Return the TLS context for dialling, or ``None`` where plain is allowed."""
+        """Return the TLS context for dialling, or ``None`` for plaintext."""
         return self._security.client_context()
 
     def on_peer_dialled(self, host):
-        """The peer `host` has dialled this node: it lives, dial it as well."""
+        """Dial `host` at once, since it has dialled this node and so is up."""
         link = self._links.get(host)
         if link is not None and link.connection is None:
             link.touch()
             link.redial_now()
 
     def hook(self, hook):
-        """Let `hook` hear of links: ``opened``, ``closed`` and ``take``."""
+        """Register an observer with the methods ``opened``, ``closed`` and ``take``."""
         self._hooks.append(hook)
 
     def opened(self, member, connection):
-        """A link to `member` is up."""
+        """Notify the hooks that the link to `member` is up."""
         for hook in self._hooks:
             hook.opened(member.host, connection)
 
     def closed(self, member):
-        """The link to `member` is down."""
+        """Notify the hooks that the link to `member` is down."""
         for hook in self._hooks:
             hook.closed(member.host)
 
     def take(self, member, message, body):
-        """Hand a message that is no reply to those who want it."""
+        """Pass a message that is not a reply to the hooks."""
         link = self._links.get(member.host)
         if link is None:
             return
--- a/caperstack/peers/port.py
+++ b/caperstack/peers/port.py
@@ -1,4 +1,4 @@
-"""The peer port: the connections that other nodes dial, one task for each."""
+"""The server side of the peer protocol: connections dialled by other nodes."""
 
 import asyncio
 from functools import singledispatchmethod
@@ -34,34 +34,45 @@
 
 __all__ = ["PeerPort"]
 
-#: Connections that may be open without a finished handshake.
+#: Limit on connections whose handshake is not complete.
 MAX_PENDING_HANDSHAKES = 64
 
-#: How often a changed load is pushed, and how much change is worth a push.
+#: How often the load is compared with the load that was pushed last.
 PUSH_SECONDS = 0.1
+
+#: Change of the service time, as a factor up or down, that triggers a push.
 MIN_SERVICE_TIME_FACTOR = 2.0
 
-#: How far the crowding must move to be worth a push, in calls a slot.
+#: Change of the occupancy that triggers a push, in calls per slot.
 MIN_OCCUPANCY_CHANGE = 0.25
 
-#: How often at most a changed crowding alone is pushed, in seconds.
+#: Minimum interval between pushes that only a changed occupancy triggers.
 OCCUPANCY_PUSH_SECONDS = 0.3
 
-#: How long a stop waits for the tasks of closed connections, in seconds; they end
-#: in the next turns of the loop.
+#: How long `PeerPort.stop` waits for the tasks of closed connections.  They normally
+#: end within a few iterations of the event loop.
 STOP_SECONDS = 0.2
 
-#: Silence after which an entry counts as gone, in seconds.
+#: Silence after which the connection of an entry is dropped.
 ENTRY_SILENT_SECONDS = 30.0
 
 
 class PeerPort:
-    """Accept peers and serve their calls, heartbeats, claims and settings.
+    """Accept connections of peers and serve their calls, heartbeats and claims.
+
+    Other messages, such as settings, go to the registered hooks.
+
+    Parameters
+    ----------
+    here : caperstack.config.here.Here
+        This node's identity and addresses.
+    security : PeerSecurity or PlaintextSecurity
+        Supplies the TLS context for accepting.
 
     Notes
     -----
-    A peer that sends rubbish is cut off and counted; the error ends its own
-    task and nothing else.
+    A peer that sends invalid data is disconnected and counted; the error ends the task
+    of that connection and affects no other.
     """
 
     def __init__(self, here, security):
@@ -83,16 +94,16 @@
 
     @property
     def peers(self):
-        """The hosts whose connections are open here."""
+        """The hosts that have an open connection to this port, sorted."""
         return sorted({connection.hello.host for connection in self._connections})
 
     @property
     def calls(self):
-        """How many calls of peers are being served."""
+        """The number of peers' calls and revocations in progress."""
         return self._calls
 
     async def start(self, kernel):
-        """Listen."""
+        """Listen on the peer address and start the background tasks."""
         self._events = kernel.find("events")
         self._metrics = kernel.find("metrics")
         self._owner = kernel.find("owner")
@@ -104,22 +115,22 @@
         self._key_watch_task = asyncio.create_task(self._watch_keys())
 
     async def stop(self):
-        """Close the port and all connections."""
+        """Close the listening socket and all connections."""
         self._push_task.cancel()
         self._key_watch_task.cancel()
         self._server.close()
         for connection in list(self._connections):
             connection.close()
-        # Their tasks end with them.  Cancelled with the loop instead, each
-        # leaves a traceback on standard error.
+        # The tasks end once their connections are closed.  A task that is cancelled
+        # with the event loop instead prints a traceback to standard error.
         if self._connection_tasks:
             await asyncio.wait(self._connection_tasks, timeout=STOP_SECONDS)
 
     async def _listen(self, context):
         self._context = context
         ip, port = split_address(self._here.peer_address)
-        # A stranger that begins no TLS would otherwise hold its connection
-        # for a minute.
+        # Without a limit, a client that never starts the TLS handshake would hold its
+        # connection for a minute, the asyncio default.
         limit = HANDSHAKE_TIMEOUT_SECONDS if context is not None else None
         self._server = await asyncio.start_server(
             self._accept,
@@ -131,8 +142,8 @@
         )
 
     async def _watch_keys(self):
-        # Connections that are open keep the keys they began with; new ones
-        # must meet the new authority.
+        # Open connections keep the keys they started with; new connections are
+        # verified against the new authorities.
         while True:
             await asyncio.sleep(RELOAD_SECONDS)
             context = self._security.server_context()
@@ -142,11 +153,11 @@
                 self._events.state("peer keys", "older", "new ones in force")
 
     def hook(self, hook):
-        """Let `hook` hear of connections: ``opened``, ``closed`` and ``take``."""
+        """Register an observer with the methods ``opened``, ``closed`` and ``take``."""
         self._hooks.append(hook)
 
     def push_state(self):
-        """Push the current load to all peers at once."""
+        """Push the current load now, to all entries if the state has changed."""
         self._push(self._owner.load)
 
     async def _accept(self, reader, writer):
@@ -159,8 +170,8 @@
             await self._perform_handshake(connection)
             await self._serve(connection)
         except Exception as error:
-            # One peer's rubbish, or a fault of ours that it brought about,
-            # ends its own connection and nothing else.
+            # Invalid data from a peer, or a programming error that it triggers, closes
+            # this connection only.
             self._metrics.count("peer_errors", kind=type(error).__name__)
             self._events.add("peer", f"cut off {address}: {error}")
         finally:
@@ -184,9 +195,9 @@
     async def _serve(self, connection):
         self._connections[connection] = True
         self._links.on_peer_dialled(connection.hello.host)
-        # Failure: the state changes between our hello and this line, nobody is
-        # told, and the entry leaves a host alone that has just become ready,
-        # until its next heartbeat two seconds later.
+        # The state may have changed since the hello was sent, while the connection was
+        # not yet among those that get pushes.  Without this update the entry would
+        # avoid a server that has just become ready until its next heartbeat, 2 s later.
         self._send_load(connection)
         for hook in self._hooks:
             hook.opened(connection.hello.host, connection)
@@ -274,16 +285,16 @@
         try:
             await connection.send_in_chunks(message, body)
         except (PeerError, ConnectionError):
-            # The entry will ask again over a new connection: Owner remembers.
+            # The entry asks again over a new connection; the owner keeps the outcome.
             self._metrics.count("replies_without_connection")
 
     def _send_load(self, connection):
-        # A call that waits brings no answer for long, and its entry would go
-        # on sending: it hears of the queue at once.
+        # Called when a call is queued: its answer, which carries the load, comes late,
+        # and meanwhile the entry would keep sending calls.
         self._send(connection, State(self._record_and_report_load(connection)))
 
     def _record_and_report_load(self, connection):
-        """Return the report of the load now, which the entry is told."""
+        """Return a report of the current load and record that the entry gets it."""
         load = self._owner.load
         connection.interest.record_load(load)
         return load_report(load)
@@ -305,9 +316,8 @@
             self._drop_silent_connections()
 
     def _drop_silent_connections(self):
-        # An entry pings an idle connection every few seconds.  One that is
-        # silent for long is gone without a word, and what waits to be sent to
-        # it would hold memory for ever.
+        # An entry pings an idle connection every few seconds.  A silent one is gone
+        # without closing its connection, and its write buffer would never be freed.
         limit = now() - ENTRY_SILENT_SECONDS
         for connection in list(self._connections):
             if connection.arrival < limit:
@@ -327,14 +337,15 @@
         return not 1 / MIN_SERVICE_TIME_FACTOR < after / before < MIN_SERVICE_TIME_FACTOR
 
     def _push(self, load):
-        """Tell `load` to the entries that have use for it, and a changed state to all.
+        """Send `load` to the entries that need it, or to all if the state has changed.
 
         Notes
         -----
-        Failure: a backend server is listed again, or starts again, seconds after
-        its entry was gone.  Entries that take it for leaving do not call, so
-        they were not told, and left it alone until their next heartbeat two
-        seconds later; a call whose other servers were gone was refused.
+        A backend server may be listed again, or restart, seconds after it was removed
+        from the host list.  Entries that believe it is leaving send no calls, so they
+        don't count as interested in its load.  If they weren't told of the new state,
+        they would avoid the server until their next heartbeat, 2 s later, and refuse
+        a call for which no other server is left.
         """
         changed = self._last_pushed is None or load.state != self._last_pushed.state
         self._last_pushed = load
@@ -347,9 +358,10 @@
 
 
 def _occupancy_change(load, last):
-    """Return how far the crowding has moved, in calls a slot."""
+    """Return the absolute change of the occupancy, in calls per slot."""
     return abs(_occupancy(load) - _occupancy(last))
 
 
 def _occupancy(load):
+    """Return the running and queued calls per slot."""
     return (load.in_flight + load.queued) / max(1, load.limit)
