--- a/caperstack/peers/__init__.py
+++ b/caperstack/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Between nodes: messages, frames, connections, links and their security."""
+"""Communication between nodes: messages, frames, connections, links and TLS."""
--- a/caperstack/peers/connection.py
+++ b/caperstack/peers/connection.py
@@ -1,4 +1,4 @@
-"""A connection between two nodes: whole messages in, whole messages out."""
+"""A connection between two nodes that sends and receives complete messages."""
 
 import asyncio
 from dataclasses import dataclass
@@ -13,14 +13,14 @@
 
 READ_BYTES = 256 * 1024
 
-#: Bytes that are buffered of a peer before reading from it pauses.
+#: Limit of the stream reader, which pauses reading above twice this many bytes.
 BUFFER_BYTES = 256 * 1024
 CHUNK_BYTES = 64 * 1024
 
-#: Bytes that may wait for a peer that does not read, before it counts as stuck.
+#: Unsent bytes above which the peer counts as stuck and sending fails.
 MAX_WRITE_BACKLOG_BYTES = 64 * 1024 * 1024
 
-#: Bytes of bodies that a peer may leave incomplete.
+#: Limit on the declared sizes of all bodies of one connection that are incomplete.
 MAX_INCOMPLETE_BODY_BYTES = 64 * 1024 * 1024
 
 HANDSHAKE_TIMEOUT_SECONDS = 5.0
@@ -41,9 +41,20 @@
     reader, writer : asyncio.StreamReader, asyncio.StreamWriter
         The two directions.
     address : str
-        The peer's address, for errors.
+        The peer's address, for error messages.
     metrics : caperstack.operators.metrics.Metrics
-        Counts the bytes.
+        Counts the bytes received and the messages sent.
+
+    Attributes
+    ----------
+    hello : caperstack.peers.messages.Hello
+        The peer's hello; ``None`` before the handshake.
+    interest : caperstack.peers.interest.LoadInterest
+        Whether the peer, as an entry, needs load updates.
+    transit : caperstack.clock.TransitClock
+        Estimates the delay of received messages.
+    arrival : float
+        When data was last read, in seconds on the local monotonic clock.
     """
 
     def __init__(self, reader, writer, address, metrics):
@@ -67,14 +78,14 @@
         return self._closed or self._writer.is_closing()
 
     async def handshake(self, hello):
-        """Exchange hellos and return the peer's.
+        """Exchange `Hello` messages and return the peer's.
 
         Raises
         ------
         PeerError
-            If the peer is silent or speaks another version.
+            If the peer closes, sends nothing in time or uses another protocol version.
         FrameError
-            If it sends something else.
+            If its first message is not a `Hello`.
         """
         self.send(hello)
         messages = self._read_batches()
@@ -97,7 +108,7 @@
         return first
 
     async def messages(self):
-        """Yield ``(message, body)`` with whole bodies until the peer closes."""
+        """Yield ``(message, body)`` with complete bodies until the peer closes."""
         for message, body in self._messages_after_hello:
             for whole in self._assemble(message, body):
                 yield whole
@@ -118,9 +129,9 @@
                 yield batch
 
     async def _read(self):
-        # A peer that drips a frame byte by byte would hold its buffer for
-        # ever: the rest of a begun frame, and of a begun body, has a deadline.
-        # A connection at rest between frames has none.
+        # While a frame or a body is incomplete, more data must arrive within the
+        # timeout; otherwise a peer that stalls in a frame would hold its buffer
+        # forever.  A connection that is idle between frames has no timeout.
         if not self._decoder.partial and not self._incomplete:
             return await self._reader.read(READ_BYTES)
         try:
@@ -158,12 +169,12 @@
         return ((partial.message, bytes(partial.body)),)
 
     def send(self, message, body=b""):
-        """Send a message whose body is at most one chunk long.
+        """Send a message whose body fits in one frame.
 
         Raises
         ------
         PeerError
-            With ``sent`` false, if the connection is closed or stuck.
+            With its ``sent`` attribute false, if the connection is closed or stuck.
         """
         if self.closed:
             raise PeerError("connection is closed", step="send", peer=self.address, sent=False)
@@ -174,7 +185,7 @@
         self._writer.write(data)
 
     async def send_in_chunks(self, message, body):
-        """Send a message with a body of any length, in chunks."""
+        """Send a message with a body of any length, split into chunks."""
         self.send(message, body[:CHUNK_BYTES])
         for start in range(CHUNK_BYTES, len(body), CHUNK_BYTES):
             await self._writer.drain()
@@ -184,16 +195,16 @@
         try:
             self.send(Chunk(number), part)
         except PeerError as error:
-            # The message itself is out: it is no longer unsent.
+            # The message itself was sent before, so the call may reach the owner.
             error.sent = True
             raise
 
     def close(self):
-        """Close the connection; what was written before is still sent."""
+        """Close the connection after the data already written has been sent."""
         self._closed = True
         self._writer.close()
 
     def abort(self):
-        """Drop the connection at once."""
+        """Close the connection at once and discard unsent data."""
         self._closed = True
         self._writer.transport.abort()
--- a/caperstack/peers/frames.py
+++ b/caperstack/peers/frames.py
@@ -1,4 +1,4 @@
-"""Frames: a length, a header in MessagePack and raw body bytes."""
+"""Encode and decode frames: two lengths, a MessagePack header and raw body bytes."""
 
 import struct
 
@@ -9,8 +9,8 @@
 
 __all__ = ["FrameDecoder", "MAX_FRAME_BYTES", "encode_frame"]
 
-#: The largest frame that is read, in bytes.  Longer bodies come in chunks, so
-#: that a large body cannot hold up the small messages behind it for long.
+#: The largest frame that is accepted.  Longer bodies are split into chunks, so that a
+#: large body can't delay the small messages behind it for long.
 MAX_FRAME_BYTES = 256 * 1024
 
 _LENGTHS = struct.Struct(">II")
@@ -19,13 +19,17 @@
 
 
 def encode_frame(message, body=b""):
-    """Return the bytes of a frame with `message` and `body`."""
+    """Encode `message` and `body` as one frame.
+
+    The frame starts with the length of header and body together and the length of the
+    header, each as an unsigned 32-bit big-endian integer.
+    """
     header = _encoder.encode(message)
     return b"".join((_LENGTHS.pack(len(header) + len(body), len(header)), header, body))
 
 
 class FrameDecoder:
-    """Cut a stream of bytes into messages.
+    """Decode a stream of bytes into messages.
 
     Examples
     --------
@@ -40,7 +44,7 @@
 
     @property
     def partial(self):
-        """Whether part of a frame is waiting for the rest."""
+        """Whether the buffer holds an incomplete frame."""
         return bool(self._buffer)
 
     def feed(self, data):
@@ -49,29 +53,29 @@
         Raises
         ------
         FrameError
-            If the bytes are no frame, or one beyond `MAX_FRAME_BYTES`.
+            If the data is malformed or a frame is larger than `MAX_FRAME_BYTES`.
         """
         buffer = self._buffer
         buffer += data
         start = 0
         try:
             while len(buffer) - start >= _LENGTHS.size:
-                total, header = _LENGTHS.unpack_from(buffer, start)
-                if total > MAX_FRAME_BYTES or header > total:
-                    raise FrameError(f"length {total} with header {header}", step="frame")
-                first = start + _LENGTHS.size
-                end = first + total
+                total, header_size = _LENGTHS.unpack_from(buffer, start)
+                if total > MAX_FRAME_BYTES or header_size > total:
+                    raise FrameError(f"length {total} with header {header_size}", step="frame")
+                header_start = start + _LENGTHS.size
+                end = header_start + total
                 if len(buffer) < end:
                     break
                 start = end
-                yield _decode(buffer, first, first + header, end)
+                yield _decode(buffer, header_start, header_start + header_size, end)
         finally:
             del buffer[:start]
 
 
-def _decode(buffer, first, middle, end):
+def _decode(buffer, header_start, body_start, end):
     try:
-        message = _decoder.decode(buffer[first:middle])
+        message = _decoder.decode(buffer[header_start:body_start])
     except msgspec.MsgspecError as error:
         raise FrameError(str(error), step="message") from None
-    return message, bytes(buffer[middle:end])
+    return message, bytes(buffer[body_start:end])
--- a/caperstack/peers/messages.py
+++ b/caperstack/peers/messages.py
@@ -1,4 +1,7 @@
-"""The typed messages between nodes."""
+"""Typed messages between nodes.
+
+Fields that end in ``_us`` are in microseconds, in ``_ms`` in milliseconds.
+"""
 
 from typing import Annotated
 
@@ -32,11 +35,11 @@
     "Unsure",
 ]
 
-#: The version of the messages below; a peer that speaks another is turned away.
+#: Version of the message format; a peer that uses another is rejected in the handshake.
 VERSION = 6
 
 
-#: More ends of one request than a node keeps are never told of it.
+#: Limit on the server ends in one `SuspicionReport`; more than a node keeps per request.
 MAX_SUSPECTED_ENDS = 32
 
 _Hash = Annotated[int, msgspec.Meta(ge=0)]
@@ -60,7 +63,10 @@
 
 
 class Hello(_MessageStruct, tag=1):
-    """The first message of each side; ``sent_us`` is the sender's monotonic clock."""
+    """The first message of each side.
+
+    ``sent_us`` is the sender's monotonic clock.
+    """
 
     version: int
     host: str
@@ -72,9 +78,11 @@
 
 
 class CallMessage(_MessageStruct, tag=2):
-    """A call for the owner's backend server; times are in microseconds.
+    """A call for the owner's backend server.
 
-    With ``withheld`` its body comes later, when the owner asks for it.
+    ``left_us``, ``queue_us`` and ``objective_us`` are the times left until the call's
+    deadline, the end of its wait in the queue and its latency objective.  If
+    ``withheld`` is set, the body is sent only when the owner requests it.
     """
 
     id: int
@@ -100,20 +108,20 @@
 
 
 class SendBody(_MessageStruct, tag=21):
-    """The owner is about to run a call whose body the entry has kept."""
+    """The owner requests the withheld body of a call that it is about to run."""
 
     id: int
 
 
 class CallBody(_MessageStruct, tag=22):
-    """The body of a call; it follows."""
+    """The withheld body of a call, which follows the message."""
 
     id: int
     size: int
 
 
 class Answer(_MessageStruct, tag=3):
-    """The backend server's answer; the body follows."""
+    """The backend server's answer; its body follows the message."""
 
     id: int
     size: int
@@ -125,7 +133,7 @@
 
 
 class Refused(_MessageStruct, tag=4):
-    """Proof by the owner that the call did not run and will not."""
+    """The owner guarantees that the call did not run and will not run."""
 
     id: int
     reason: str
@@ -136,9 +144,10 @@
 
 
 class Unsure(_MessageStruct, tag=5):
-    """The owner sent the call to its backend server and got no whole answer.
+    """The owner sent the call to its backend server and got no complete answer.
 
-    ``end`` names the end of the server with the call at work; 0 if it lives.
+    ``end`` is the number of the backend server's end if it ended while it ran the call,
+    otherwise 0.
     """
 
     id: int
@@ -150,11 +159,11 @@
 
 
 class Revoke(_MessageStruct, tag=6):
-    """The entry gives a call up; with ``reply`` it wants to know how it ended.
+    """The entry abandons a call or, with ``reply``, asks how it ended.
 
-    Without ``reply`` the owner cancels what it can and says nothing.
-    ``age_us`` is how long ago the call was sent, ``sent_us`` the sender's
-    monotonic clock now.
+    Without ``reply`` the owner cancels the call if it can and sends nothing back.
+    ``age_us`` is the time since the call was sent, ``sent_us`` the sender's monotonic
+    clock when this message was sent.
     """
 
     id: int
@@ -164,13 +173,13 @@
 
 
 class Chunk(_MessageStruct, tag=7):
-    """A further part of the body of message ``id``."""
+    """The next part of the body of message ``id``."""
 
     id: int
 
 
 class Ping(_MessageStruct, tag=8):
-    """A heartbeat that wants a `Pong`."""
+    """A heartbeat request, answered by a `Pong`."""
 
     id: int
     clock: int
@@ -185,16 +194,16 @@
 
 
 class State(_MessageStruct, tag=10):
-    """The owner's load or state changed enough to say so unasked."""
+    """An unsolicited update of the owner's load and state."""
 
     load: LoadReport
 
 
 class Claim(_MessageStruct, tag=11):
-    """Ask a keeper to record an idempotency key.
+    """A request to a keeper to record an idempotency key.
 
-    ``born_us`` is 0 for a key whose birth cannot be read; ``keepers`` are all
-    that the sender asks.
+    ``born_us`` is when the key was created, or 0 if the key doesn't tell; ``keepers``
+    are all keepers that the sender asks.
     """
 
     id: int
@@ -208,7 +217,10 @@
 
 
 class Claimed(_MessageStruct, tag=12):
-    """The keeper's verdict on a claim, a `caperstack.idempotency.keeper.Verdict`."""
+    """The reply to a `Claim`.
+
+    ``verdict`` is a `caperstack.idempotency.keeper.Verdict`.
+    """
 
     id: int
     verdict: int
@@ -217,7 +229,10 @@
 
 
 class Settle(_MessageStruct, tag=13):
-    """How the holder's call under a key ended: ``ran`` is false only on proof."""
+    """How the call that holds an idempotency key ended.
+
+    ``ran`` is false only if the call is known not to have run.
+    """
 
     service: str
     key: str
@@ -226,9 +241,10 @@
 
 
 class Revisions(_MessageStruct, tag=14):
-    """Revisions of subtrees that the sender holds; with ``buckets`` all in those.
+    """Revisions of configuration subtrees that the sender holds.
 
-    To the list of whole buckets the receiver replies with what it holds higher there.
+    With ``buckets`` they are all its revisions in these buckets, and the receiver
+    replies with the higher revisions that it holds there.
     """
 
     revisions: dict[str, int]
@@ -236,11 +252,11 @@
 
 
 class Digest(_MessageStruct, tag=18):
-    """A number that is equal where all revisions are equal.
+    """A hash over all revisions, equal on two nodes if their revisions are equal.
 
-    With ``reading`` it tells that the platform was read, ``read_age_us`` ago at
-    ``sent_us`` on the sender's monotonic clock; the number names the reading.
-    ``era`` is that of the platform's revisions, first seen ``era_age_us`` ago.
+    A nonzero ``reading`` is the number of a reading of the platform that began
+    ``read_age_us`` before ``sent_us``, a time on the sender's monotonic clock.
+    ``era`` is the era of the platform's revisions, first seen ``era_age_us`` before it.
     """
 
     value: int
@@ -252,9 +268,9 @@
 
 
 class Buckets(_MessageStruct, tag=19):
-    """The sender's digest, and that of each bucket of subtrees.
+    """The sender's digest over all subtrees and its digest of each bucket of them.
 
-    The receiver replies with its revisions in the buckets that differ.
+    The receiver replies with its revisions in the buckets whose digests differ.
     """
 
     value: int
@@ -262,13 +278,16 @@
 
 
 class Fetch(_MessageStruct, tag=15):
-    """Ask for the bodies of subtrees."""
+    """A request for the bodies of subtrees."""
 
     paths: list[str]
 
 
 class SubtreeBody(_MessageStruct, tag=16):
-    """A subtree at a revision, deleted or with its JSON text, packed by zlib, as the body."""
+    """A subtree at a revision.
+
+    The body is its JSON text, compressed with zlib, unless the subtree is deleted.
+    """
 
     id: int
     size: int
@@ -293,7 +312,7 @@
 
 
 class Suspicions(_MessageStruct, tag=20):
-    """What the sender knows of requests that were at work when servers ended."""
+    """The sender's records of requests that were running when backend servers ended."""
 
     items: list[SuspicionReport]
 
--- a/caperstack/peers/security.py
+++ b/caperstack/peers/security.py
@@ -9,7 +9,7 @@
 
 __all__ = ["PeerSecurity", "PlaintextSecurity"]
 
-#: How long a loaded key is used before its source is read again, in seconds.
+#: How often the sources of certificate, key and authorities are read again.
 RELOAD_SECONDS = 10.0
 
 _PEM_MARK = "-----BEGIN"
@@ -21,8 +21,8 @@
 
     Notes
     -----
-    The TLS library reads keys from files only, and hosts have no disks: text
-    is put into an anonymous file in memory for the moment of loading.
+    The TLS library loads keys from files only, and the hosts have no disks, so PEM
+    text is written to an anonymous in-memory file while it is loaded.
     """
     if _PEM_MARK not in source:
         yield source
@@ -43,12 +43,12 @@
 
 
 class PeerSecurity:
-    """The TLS contexts of the peer port, or none where plain was asked for.
+    """Provide the TLS contexts between nodes, or none in the mode ``plain``.
 
     Parameters
     ----------
     settings : caperstack.config.start.SecuritySettings
-        Mode, certificate, key and authorities, each a path or PEM text.
+        The mode; certificate, key and authorities, each a path or PEM text.
     """
 
     def __init__(self, settings):
@@ -58,20 +58,20 @@
         self._reload_at = {}
 
     async def start(self, kernel):
-        """Load the keys once, so that a wrong one shows at the start."""
+        """Load the keys once, so that an invalid one is reported at startup."""
         self._events = kernel.find("events")
         self.client_context()
         self.server_context()
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing."""
 
     def client_context(self):
-        """Return the context for dialling, or ``None``."""
+        """Return the TLS context for dialling, or ``None`` for plaintext."""
         return self._current_context(ssl.PROTOCOL_TLS_CLIENT)
 
     def server_context(self):
-        """Return the context for accepting, or ``None``."""
+        """Return the TLS context for accepting, or ``None`` for plaintext."""
         return self._current_context(ssl.PROTOCOL_TLS_SERVER)
 
     def _current_context(self, protocol):
@@ -90,12 +90,12 @@
                 raise ConfigurationError(
                     str(error), step="start settings", peer="security"
                 ) from None
-            # A half-written key must not take the node out of the fleet.
+            # Keep the old keys: a half-written key file must not isolate the node.
             self._events.state("peer keys", "in force", f"kept, new ones unreadable: {error}")
         return self._contexts[protocol]
 
     def _read_sources(self):
-        """Return the text of certificate, key and authorities."""
+        """Return the PEM texts of certificate, key and authorities."""
         settings = self._settings
         return tuple(
             _read_pem(source)
@@ -105,7 +105,8 @@
     def _load(self, protocol):
         context = ssl.SSLContext(protocol)
         context.minimum_version = ssl.TLSVersion.TLSv1_3
-        # Peers are named by address; the authority, not the name, admits them.
+        # Peers are addressed by IP; they are admitted by their certificate authority,
+        # not by a host name.
         context.check_hostname = False
         context.verify_mode = ssl.CERT_REQUIRED
         with (
@@ -119,10 +120,10 @@
 
 
 class PlaintextSecurity:
-    """No TLS between nodes: the network that they share is trusted."""
+    """Use no TLS between nodes, on a trusted network."""
 
     def server_context(self):
-        """Return ``None``: connections are accepted as they are."""
+        """Return ``None``: connections are accepted without TLS."""
 
     def client_context(self):
-        """Return ``None``: connections are dialled as they are."""
+        """Return ``None``: connections are dialled without TLS."""
--- a/caperstack/peers/tests/test_frames.py
+++ b/caperstack/peers/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames: any cut of the stream gives the same messages, rubbish gives an error."""
+"""Decoding of frames from arbitrarily split and from malformed streams."""
 
 import unittest
 
@@ -17,7 +17,7 @@
         st.lists(st.tuples(st.integers(0, 2**62), st.binary(max_size=300)), max_size=8),
         st.integers(1, 50),
     )
-    def test_any_cut_gives_the_same_messages(self, parts, step):
+    def test_split_of_the_stream_does_not_change_the_messages(self, parts, step):
         stream = b"".join(encode_frame(Chunk(number), body) for number, body in parts)
         decoder = FrameDecoder()
         decoded = []
@@ -27,19 +27,19 @@
         self.assertFalse(decoder.partial)
 
     @given(st.binary(min_size=8, max_size=200))
-    def test_rubbish_is_an_error_or_waits(self, rubbish):
+    def test_malformed_data_raises_or_stays_incomplete(self, data):
         decoder = FrameDecoder()
         try:
-            list(decoder.feed(rubbish))
+            list(decoder.feed(data))
         except FrameError:
             return
         self.assertTrue(decoder.partial)
 
-    def test_frame_beyond_the_bound(self):
+    def test_oversized_frame_is_rejected(self):
         with self.assertRaises(FrameError):
             list(FrameDecoder().feed(encode_frame(Chunk(1), bytes(MAX_FRAME_BYTES))))
 
-    def test_good_messages_before_a_bad_one_are_delivered(self):
+    def test_messages_before_a_malformed_frame_are_delivered(self):
         decoded = []
         with self.assertRaises(FrameError):
             for message in FrameDecoder().feed(encode_frame(Revoke(1, True)) + b"\xff" * 20):
--- a/caperstack/peers/tests/test_port.py
+++ b/caperstack/peers/tests/test_port.py
@@ -1,4 +1,4 @@
-"""What an owner tells the entries that are connected to it."""
+"""Load updates from an owner to its connected entries."""
 
 import unittest
 from dataclasses import replace
@@ -11,7 +11,7 @@
 
 
 class FakeConnection:
-    """Notes the states that it is sent."""
+    """Record the states that are sent on it."""
 
     def __init__(self, moment):
         with use_source(lambda: moment):
@@ -23,7 +23,7 @@
 
 
 class TestPushes(unittest.TestCase):
-    """`PeerPort.push_state` with one entry that calls here and one that does not."""
+    """`PeerPort.push_state` to one entry that has called lately and one that has not."""
 
     def setUp(self):
         self.port = PeerPort(None, None)
@@ -37,19 +37,19 @@
         self.owner.load = replace(self.owner.load, **changes)
         self.port.push_state()
 
-    def test_state_that_changes_is_told_to_all(self):
-        # A server's entry was gone and is back.  An entry that took it for
-        # leaving has not called it for seconds, and must hear of it now.
+    def test_changed_state_is_sent_to_entries_that_do_not_call(self):
+        # A server was removed from the host list and is listed again.  An entry that
+        # took it for leaving has not called it for seconds and would keep avoiding it.
         self.tell(state=ServerState.WARM)
         self.assertEqual(self.other.sent, [ServerState.LEAVING, ServerState.WARM])
 
-    def test_pace_is_told_to_those_who_call(self):
+    def test_changed_pace_is_sent_only_to_entries_that_call(self):
         self.tell(pace=400)
         self.assertEqual((len(self.caller.sent), len(self.other.sent)), (2, 1))
 
-    def test_whoever_was_told_of_a_visit_hears_of_its_end(self):
-        # An entry's call was refused since the host is slowed.  It calls
-        # elsewhere and would leave this host alone for two seconds more.
+    def test_entry_told_of_a_slow_phase_is_told_of_its_end(self):
+        # An entry whose call was refused because the host is slowed calls other hosts
+        # and would avoid this one for 2 s more.
         self.other.interest.record_load(replace(self.owner.load, pace=400))
         self.tell(pace=300)
         self.tell(pace=100)
--- a/caperstack/peers/tests/test_security.py
+++ b/caperstack/peers/tests/test_security.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between nodes: who is let in, and keys that change while it runs."""
+"""Mutual TLS between nodes: peer authentication and replacement of keys at run time."""
 
 import asyncio
 import ssl
@@ -42,7 +42,7 @@
     """`PeerSecurity`."""
 
     async def exchange(self, server, client):
-        """Return what a client with its context gets from a server that greets."""
+        """Return what `client` receives from a server with the keys of `server`."""
 
         async def greet(reader, writer):
             writer.write(b"hello")
@@ -63,18 +63,18 @@
         finally:
             listener.close()
 
-    async def test_same_authority_is_let_in(self):
+    async def test_peer_of_the_same_authority_is_accepted(self):
         authority = trustme.CA()
         one, other = [await started(settings_of(authority)) for _ in range(2)]
         self.assertEqual(await self.exchange(one, other), b"hello")
 
-    async def test_stranger_gets_nothing(self):
+    async def test_peer_of_another_authority_or_without_tls_is_rejected(self):
         server = await started(settings_of(trustme.CA()))
         stranger = await started(settings_of(trustme.CA()))
         self.assertEqual(await self.exchange(server, stranger), b"")
         self.assertNotIn(b"hello", await self.exchange(server, None))
 
-    async def test_new_keys_are_taken_without_a_restart(self):
+    async def test_new_keys_are_loaded_without_a_restart(self):
         old, new = trustme.CA(), trustme.CA()
         with tempfile.TemporaryDirectory() as directory:
             server = await started(settings_of(old, as_text=False, directory=directory))
@@ -84,7 +84,7 @@
             with mock.patch.object(module, "now", lambda: 1e12):
                 self.assertEqual(await self.exchange(server, client), b"hello")
 
-    async def test_unreadable_new_key_leaves_the_old_one(self):
+    async def test_unreadable_new_key_keeps_the_old_keys(self):
         authority = trustme.CA()
         with tempfile.TemporaryDirectory() as directory:
             server = await started(settings_of(authority, as_text=False, directory=directory))
@@ -92,7 +92,7 @@
             with mock.patch.object(module, "now", lambda: 1e12):
                 self.assertIsNotNone(server.server_context())
 
-    async def test_wrong_key_is_named_at_the_start(self):
+    async def test_unreadable_key_at_startup_raises_configuration_error(self):
         with self.assertRaises(ConfigurationError) as caught:
             await started(SecuritySettings(mode="tls", certificate="/nowhere", key="/nowhere"))
         self.assertEqual(caught.exception.peer, "security")
--- a/caperstack/peers/translate.py
+++ b/caperstack/peers/translate.py
@@ -1,4 +1,4 @@
-"""Between the data classes of the nodes and the messages of the wire."""
+"""Convert between the data classes of a node and the messages on the wire."""
 
 from functools import singledispatch
 
@@ -60,9 +60,16 @@
 
 
 def call_message(call, clock, withheld=False):
-    """Return the `CallMessage` of `call`; its deadlines become times left.
+    """Return the `CallMessage` of `call`, with its deadlines as time left.
 
-    With `withheld` its body is sent when the owner asks for it.
+    Parameters
+    ----------
+    call : caperstack.calls.model.Call
+        The call to send.
+    clock : int
+        The sender's event clock, in microseconds.
+    withheld : bool
+        Whether the body is sent only when the owner requests it.
     """
     return CallMessage(
         call.id,
@@ -94,11 +101,11 @@
     Parameters
     ----------
     origin : str
-        The host that sent it.
+        The host that sent the call.
     arrival : float
-        The point at which it was read.
+        When it was read, in seconds on the local monotonic clock.
     lateness : float
-        How long it was held up on the way, in seconds.
+        How long it was delayed in transit beyond the usual, in seconds.
     """
     sent = arrival - lateness
     return Call(
@@ -123,7 +130,7 @@
 
 
 def hello_message(here, incarnation, load):
-    """Return the `Hello` of this node."""
+    """Return the `Hello` message of this node."""
     return Hello(
         VERSION,
         here.host,
@@ -137,8 +144,8 @@
 
 @singledispatch
 def reply_for_outcome(outcome, number, report, clock):
-    """Return ``(message, body)`` that tells `outcome` of call `number`."""
-    raise TypeError(f"no such outcome: {outcome!r}")
+    """Return the ``(message, body)`` that reports `outcome` of call `number`."""
+    raise TypeError(f"unsupported outcome: {outcome!r}")
 
 
 @reply_for_outcome.register
@@ -162,8 +169,8 @@
 
 @singledispatch
 def outcome_from_reply(message, body):
-    """Return the outcome that a reply tells."""
-    raise TypeError(f"no outcome: {message!r}")
+    """Return the outcome that a reply reports."""
+    raise TypeError(f"message does not report an outcome: {message!r}")
 
 
 @outcome_from_reply.register
--- a/caperstack/peers/withheld.py
+++ b/caperstack/peers/withheld.py
@@ -1,4 +1,4 @@
-"""Bodies that an entry keeps until the owner is about to run their calls."""
+"""Request bodies that an entry sends only when the owner is about to run the call."""
 
 import asyncio
 
@@ -9,29 +9,29 @@
 
 
 class WithheldBodies:
-    """The owner's side: the bodies that were asked for and have not come."""
+    """Track the bodies that the owner has requested and not yet received."""
 
     def __init__(self):
         self._expected = {}
 
     def expect(self, connection, number):
-        """Return the future of the body of call `number`, which that connection will bring."""
+        """Return a future for the body of call `number`, to be received on `connection`."""
         future = asyncio.get_running_loop().create_future()
         self._expected[connection, number] = future
         return future
 
     def forget(self, connection, number):
-        """Nobody waits for that body any more."""
+        """Stop waiting for the body of call `number`."""
         self._expected.pop((connection, number), None)
 
     def deliver(self, connection, number, body):
-        """Take a body that has come."""
+        """Complete the future of a received body, if one is still waiting."""
         future = self._expected.pop((connection, number), None)
         if future is not None and not future.done():
             future.set_result(body)
 
     def fail_all(self, connection):
-        """A connection is closed: what it was to bring does not come."""
+        """Fail the futures of all bodies expected on a closed connection."""
         for key in [key for key in self._expected if key[0] is connection]:
             future = self._expected.pop(key)
             if not future.done():
@@ -41,16 +41,16 @@
 
 
 class WithheldBody:
-    """The body of one call, which its entry sends when it is asked for.
+    """The body of one call, which its entry sends on request.
 
     Parameters
     ----------
     bodies : WithheldBodies
-        Where it is expected.
+        Tracks the request.
     connection : caperstack.peers.connection.PeerConnection
-        To the entry.
+        The connection to the entry.
     number : int
-        The call's.
+        The id of the call.
     """
 
     def __init__(self, bodies, connection, number):
@@ -59,12 +59,17 @@
         self._number = number
 
     async def fetch(self, limit):
-        """Return the body.
+        """Request the body and return it.
+
+        Parameters
+        ----------
+        limit : float
+            Deadline, in seconds on the local monotonic clock.
 
         Raises
         ------
         PeerError
-            If it has not come by the point `limit`.
+            If the body has not arrived by `limit` or the connection is lost.
         """
         connection = self._connection
         future = self._bodies.expect(connection, self._number)
