--- a/caperstack/peers/messages.py
+++ b/caperstack/peers/messages.py
@@ -39,7 +39,7 @@
 VERSION = 6
 
 
-#: Limit on the server ends in one `SuspicionReport`; more than a node keeps per request.
+#: Limit on the crashes in one `SuspicionReport`; more than a node keeps per request.
 MAX_SUSPECTED_ENDS = 32
 
 _Hash = Annotated[int, msgspec.Meta(ge=0)]
@@ -146,8 +146,8 @@
 class Unsure(_MessageStruct, tag=5):
     """The owner sent the call to its backend server and got no complete answer.
 
-    ``end`` is the number of the backend server's end if it ended while it ran the call,
-    otherwise 0.
+    ``end`` is the number of the crash if the backend server crashed while it ran the
+    call, otherwise 0.
     """
 
     id: int
@@ -254,7 +254,7 @@
 class Digest(_MessageStruct, tag=18):
     """A hash over all revisions, equal on two nodes if their revisions are equal.
 
-    A nonzero ``reading`` is the number of a reading of the platform that began
+    A nonzero ``reading`` is the number of a platform read that began
     ``read_age_us`` before ``sent_us``, a time on the sender's monotonic clock.
     ``era`` is the era of the platform's revisions, first seen ``era_age_us`` before it.
     """
@@ -312,7 +312,7 @@
 
 
 class Suspicions(_MessageStruct, tag=20):
-    """The sender's records of requests that were running when backend servers ended."""
+    """The sender's records of requests that were running when backend servers crashed."""
 
     items: list[SuspicionReport]
 
--- a/caperstack/peers/port.py
+++ b/caperstack/peers/port.py
@@ -289,8 +289,8 @@
             self._metrics.count("replies_without_connection")
 
     def _send_load(self, connection):
-        # Called when a call is queued: its answer, which carries the load, comes late,
-        # and meanwhile the entry would keep sending calls.
+        # Sent, among others, when a call is queued: its answer, which also carries the
+        # load, comes late, and meanwhile the entry would keep sending calls.
         self._send(connection, State(self._record_and_report_load(connection)))
 
     def _record_and_report_load(self, connection):
--- a/caperstack/peers/tests/test_port.py
+++ b/caperstack/peers/tests/test_port.py
@@ -33,27 +33,27 @@
         self.port._connections = {self.caller: True, self.other: True}
         self.port.push_state()
 
-    def tell(self, **changes):
+    def push(self, **changes):
         self.owner.load = replace(self.owner.load, **changes)
         self.port.push_state()
 
     def test_changed_state_is_sent_to_entries_that_do_not_call(self):
         # A server was removed from the host list and is listed again.  An entry that
         # took it for leaving has not called it for seconds and would keep avoiding it.
-        self.tell(state=ServerState.WARM)
+        self.push(state=ServerState.WARM)
         self.assertEqual(self.other.sent, [ServerState.LEAVING, ServerState.WARM])
 
-    def test_changed_pace_is_sent_only_to_entries_that_call(self):
-        self.tell(pace=400)
+    def test_changed_slowdown_is_sent_only_to_entries_that_call(self):
+        self.push(pace=400)
         self.assertEqual((len(self.caller.sent), len(self.other.sent)), (2, 1))
 
     def test_entry_told_of_a_slow_phase_is_told_of_its_end(self):
         # An entry whose call was refused because the host is slowed calls other hosts
         # and would avoid this one for 2 s more.
         self.other.interest.record_load(replace(self.owner.load, pace=400))
-        self.tell(pace=300)
-        self.tell(pace=100)
-        self.tell(pace=110)
+        self.push(pace=300)
+        self.push(pace=100)
+        self.push(pace=110)
         self.assertEqual(len(self.other.sent), 2)
 
 
--- a/caperstack/peers/tests/test_security.py
+++ b/caperstack/peers/tests/test_security.py
@@ -70,8 +70,8 @@
 
     async def test_peer_of_another_authority_or_without_tls_is_rejected(self):
         server = await started(settings_of(trustme.CA()))
-        stranger = await started(settings_of(trustme.CA()))
-        self.assertEqual(await self.exchange(server, stranger), b"")
+        outsider = await started(settings_of(trustme.CA()))
+        self.assertEqual(await self.exchange(server, outsider), b"")
         self.assertNotIn(b"hello", await self.exchange(server, None))
 
     async def test_new_keys_are_loaded_without_a_restart(self):
