--- a/caperstack/peers/link.py
+++ b/caperstack/peers/link.py
@@ -1,4 +1,4 @@
-"""A link: the way to a remote owner, a connection that is dialled again when lost."""
+"""The client side of the peer protocol: a reconnecting link to one remote owner."""
 
 import asyncio
 import contextlib
@@ -23,39 +23,39 @@
     State,
     Unsure,
 )
-from caperstack.peers.translate import call_message, load_from, outcome_from
+from caperstack.peers.translate import call_message, load_from_report, outcome_from_reply
 
 __all__ = ["Link", "PING_SECONDS"]
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 REDIAL_SECONDS = 0.1
-REDIAL_SECONDS_MOST = 2.0
+MAX_REDIAL_SECONDS = 2.0
 
-#: Heartbeats: what is heard on a link is one.  Without, a ping goes out after
-#: 0.4 s where calls wait and after two seconds on an idle link; after 1.2 s the
-#: silence counts.  A listing whose owner is cut off or paused can then still be
-#: answered elsewhere within its two seconds; TCP repeats a lost packet after
-#: 0.2 to 0.6 s, so two losses in a row do not count as silence.
+#: Any received message counts as a heartbeat.  If none arrives, a ping is sent after
+#: 0.4 s while calls are pending and after 2 s on an idle link.  After 1.2 s of silence
+#: the connection counts as lost, so that a read call whose owner is unreachable or
+#: paused can still be answered by another owner within its 2 s deadline.  TCP
+#: retransmits a lost packet after 0.2 to 0.6 s, so two losses in a row are tolerated.
 PING_SECONDS = 0.4
 IDLE_PING_SECONDS = 2.0
-SILENT_SECONDS = 1.2
+SILENCE_TIMEOUT_SECONDS = 1.2
 
-#: How long a link that nobody used stays open.
-UNUSED_SECONDS = 60.0
+#: Idle time after which an unused link is closed.
+IDLE_CLOSE_SECONDS = 60.0
 
-#: How long the entry waits beyond the deadline for the owner's own word.
-GRACE_SECONDS = 0.05
+#: How long the entry waits beyond a call's deadline for the owner to report the outcome.
+DEADLINE_GRACE_SECONDS = 0.05
 
 
 class Link:
-    """The way to a remote owner: a connection that is dialled again when lost.
+    """A link to one remote owner over a connection that is redialled when lost.
 
     Parameters
     ----------
     member : caperstack.membership.members.Member
         The peer.
-    links : Links
-        The service that holds this link.
+    links : caperstack.peers.links.Links
+        The service that manages this link.
     """
 
     def __init__(self, member, links):
@@ -67,25 +67,25 @@
         self._sending = set()
         self._numbers = itertools.count(1)
         self._task = None
-        self._up = asyncio.Event()
-        self._hurried = asyncio.Event()
+        self._connected = asyncio.Event()
+        self._redial_requested = asyncio.Event()
         self._used_until = 0.0
-        self._heard_at = 0.0
-        self._awaits_pong = False
+        self._last_received_at = 0.0
+        self._awaiting_pong = False
         self._failures = 0
         self._retired = False
 
     @property
     def retired(self):
-        """Whether the link is to close, and has."""
+        """Whether the link was retired and its task has ended."""
         return self._retired and (self._task is None or self._task.done())
 
     @property
     def usable(self):
-        """Whether calls can be sent now; a link not yet tried counts as usable."""
+        """Whether calls can be sent now; a link that was never dialled counts as usable."""
         if self._connection is None:
             return self._failures == 0
-        return not self._awaits_pong or now() - self._heard_at < SILENT_SECONDS
+        return not self._awaiting_pong or now() - self._last_received_at < SILENCE_TIMEOUT_SECONDS
 
     @property
     def connection(self):
@@ -93,28 +93,30 @@
         return self._connection
 
     def touch(self):
-        """Open the link if it is closed, and keep it open for a while."""
+        """Open the link if it is closed, and restart its idle timeout."""
         if self._retired:
             return
-        self._used_until = deadline_after(UNUSED_SECONDS)
+        self._used_until = deadline_after(IDLE_CLOSE_SECONDS)
         if self._task is None or self._task.done():
-            self._task = asyncio.create_task(self._keep_open())
+            self._task = asyncio.create_task(self._maintain_connection())
 
     def freshen(self, estimate):
-        """Nothing: a remote load is known as it was last told."""
+        """Do nothing: the owner pushes load updates, they are not polled."""
 
-    def hurry(self):
-        """The peer was heard of: dial it now rather than after the next wait."""
-        self._hurried.set()
+    def redial_now(self):
+        """Dial now instead of after the current redial delay."""
+        self._redial_requested.set()
 
     def retire(self):
-        """The member is no longer listed: finish what is out, then close for good.
+        """Close the link for good once its pending calls have ended.
+
+        Called when the member is no longer listed.
 
         Notes
         -----
-        Failure: a backend server leaves in peace, its entry is removed while
-        calls still run there, and the link is closed under them; their callers
-        hear that nobody knows whether they ran, though the answers come.
+        A backend server that shuts down gracefully is removed from the host list while
+        calls still run there.  Closing the link at once would report their outcome as
+        unknown to the callers, although the answers are still to come.
         """
         self._retired = True
         self._used_until = 0.0
@@ -122,19 +124,19 @@
             self.close()
 
     def close(self):
-        """Close the link for good."""
+        """Close the link for good, without waiting for pending calls."""
         if self._task is not None:
             self._task.cancel()
 
     # -- calls ------------------------------------------------------------
 
     async def run(self, call):
-        """Send `call` to the owner and return the outcome it tells.
+        """Send `call` to the owner and return the outcome that it reports.
 
         Raises
         ------
         PeerError
-            If the link fails; ``sent`` tells whether the call may have
+            If the link fails; its ``sent`` attribute tells whether the call may have
             reached the owner.
         """
         connection = await self._open(call.deadline)
@@ -143,28 +145,29 @@
         self._calls[call.id] = call
         try:
             message = call_message(call, self._links.events.clock.tick(), withheld)
-            async with asyncio.timeout_at(call.deadline + GRACE_SECONDS):
-                await connection.send_whole(message, b"" if withheld else call.body)
+            async with asyncio.timeout_at(call.deadline + DEADLINE_GRACE_SECONDS):
+                await connection.send_in_chunks(message, b"" if withheld else call.body)
                 message, body = await future
         except TimeoutError:
-            self._send_quietly(Revoke(call.id, False))
+            self._send_if_connected(Revoke(call.id, False))
             return Unknown("deadline passed", 504)
         except asyncio.CancelledError:
-            self._send_quietly(Revoke(call.id, False))
+            self._send_if_connected(Revoke(call.id, False))
             raise
         finally:
             self._pending.pop(call.id, None)
             del self._calls[call.id]
-        return outcome_from(message, body)
+        return outcome_from_reply(message, body)
 
     async def resolve(self, call):
-        """Ask the owner how a call ended whose connection was lost.
+        """Revoke a call whose connection was lost and return its outcome.
 
         Returns
         -------
         Outcome
-            `NotRun` if the owner revoked it or never got it, which it will
-            remember; `Unknown` if the owner cannot be asked in time.
+            `NotRun` if the owner revoked the call or never received it; the owner then
+            also refuses a copy that arrives later.  `Unknown` if the owner cannot be
+            reached by the call's deadline.
         """
         try:
             connection = await self._open(call.deadline)
@@ -177,15 +180,15 @@
             return Unknown("connection to the owner was lost")
         finally:
             self._pending.pop(call.id, None)
-        return outcome_from(message, body)
+        return outcome_from_reply(message, body)
 
     async def ask(self, message, deadline):
-        """Send a message that has a reply with the same ``id``; return the reply.
+        """Send a request message and return the reply, which has the same ``id``.
 
         Raises
         ------
         PeerError
-            If there is none by `deadline`.
+            If no reply arrives by `deadline`.
         """
         connection = await self._open(deadline)
         message.id = -next(self._numbers)
@@ -201,15 +204,15 @@
         return reply
 
     def tell(self, message):
-        """Send a message that needs no reply, if the link is open."""
-        self._send_quietly(message)
+        """Send a message that needs no reply; drop it if the link is down."""
+        self._send_if_connected(message)
 
     def _expect(self, number):
         future = asyncio.get_running_loop().create_future()
         self._pending[number] = future
         return future
 
-    def _send_quietly(self, message):
+    def _send_if_connected(self, message):
         if self._connection is None:
             return
         try:
@@ -221,8 +224,10 @@
         self.touch()
         if self._connection is None:
             try:
-                async with asyncio.timeout_at(min(deadline, deadline_after(CONNECT_SECONDS))):
-                    await self._up.wait()
+                async with asyncio.timeout_at(
+                    min(deadline, deadline_after(CONNECT_TIMEOUT_SECONDS))
+                ):
+                    await self._connected.wait()
             except TimeoutError:
                 raise PeerError(
                     "no connection", step="connect", peer=self._member.host, sent=False
@@ -233,39 +238,39 @@
 
     # -- the link's task --------------------------------------------------
 
-    async def _keep_open(self):
+    async def _maintain_connection(self):
         while now() < self._used_until:
             try:
                 await self._serve_one_connection()
             except Exception as error:
-                # Whatever is wrong with one connection, the link is dialled
-                # again; a fault of ours shows in the count by its kind.
+                # Redial after any error.  Programming errors show up in the
+                # metric under their exception class.
                 self._failures += 1
                 self._links.metrics.count("link_failures", kind=type(error).__name__)
                 if self._failures == 1:
                     self._links.events.state("link", "up", f"down: {error}", self._member.host)
-            wait = min(REDIAL_SECONDS_MOST, REDIAL_SECONDS * 2 ** min(self._failures, 8))
+            wait = min(MAX_REDIAL_SECONDS, REDIAL_SECONDS * 2 ** min(self._failures, 8))
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait * random.uniform(0.5, 1.0)):
-                    await self._hurried.wait()
-            self._hurried.clear()
+                    await self._redial_requested.wait()
+            self._redial_requested.clear()
 
     async def _serve_one_connection(self):
         connection = await self._dial()
         try:
-            await self._greet(connection)
+            await self._perform_handshake(connection)
             async for message, body in connection.messages():
-                self._heard_at = connection.arrival
-                self._awaits_pong = False
-                self._take(message, body)
+                self._last_received_at = connection.arrival
+                self._awaiting_pong = False
+                self._handle_message(message, body)
         finally:
             connection.abort()
-            self._lost()
+            self._on_connection_lost()
 
     async def _dial(self):
         ip, port = split_address(self._member.peer_address)
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 reader, writer = await asyncio.open_connection(
                     ip, port, limit=BUFFER_BYTES, ssl=self._links.client_tls()
                 )
@@ -274,32 +279,32 @@
             raise PeerError(reason, step="connect", peer=self._member.host, sent=False) from None
         return PeerConnection(reader, writer, self._member.peer_address, self._links.metrics)
 
-    async def _greet(self, connection):
+    async def _perform_handshake(self, connection):
         hello = await connection.handshake(self._links.hello())
         if hello.host != self._member.host:
             reason = f"it is {hello.host}, not {self._member.host}"
             raise FrameError(reason, step="handshake", peer=self._member.peer_address)
         self._member.incarnation = max(self._member.incarnation, hello.incarnation)
-        self._take_load(hello.load)
+        self._apply_load(hello.load)
         if self._failures:
             self._links.events.state("link", "down", "up", self._member.host)
         self._failures = 0
-        self._heard_at = now()
+        self._last_received_at = now()
         self._connection = connection
-        self._up.set()
+        self._connected.set()
         self._links.opened(self._member, connection)
 
-    def beat(self):
-        """Look after the connection: heartbeat, silence, disuse."""
+    def check_liveness(self):
+        """Send a ping, drop a silent connection or close an idle one, as needed."""
         connection = self._connection
         if connection is None:
             return
-        quiet = now() - self._heard_at
-        if quiet > SILENT_SECONDS + (0 if self._awaits_pong else IDLE_PING_SECONDS):
-            # Failure: in a partition nothing breaks the connection, and a
-            # listing that waits for its answer hangs until its deadline.
-            # Broken from here, it is tried elsewhere, and a booking is asked
-            # after over a new connection.
+        quiet = now() - self._last_received_at
+        if quiet > SILENCE_TIMEOUT_SECONDS + (0 if self._awaiting_pong else IDLE_PING_SECONDS):
+            # A network partition doesn't close the TCP connection, and a call
+            # would wait for its answer until its deadline.  After the abort an
+            # idempotent call is retried at another owner, and the outcome of any
+            # other call is queried over a new connection.
             self._member.estimate.mark_down()
             connection.abort()
         elif now() > self._used_until and not self._pending:
@@ -307,12 +312,12 @@
             if self._retired:
                 self.close()
         elif quiet >= (PING_SECONDS if self._pending else IDLE_PING_SECONDS):
-            self._awaits_pong = True
-            self._send_quietly(Ping(0, self._links.events.clock.tick()))
+            self._awaiting_pong = True
+            self._send_if_connected(Ping(0, self._links.events.clock.tick()))
 
-    def _lost(self):
+    def _on_connection_lost(self):
         was_up, self._connection = self._connection is not None, None
-        self._up.clear()
+        self._connected.clear()
         error = PeerError("connection lost", step="call", peer=self._member.host)
         for future in self._pending.values():
             if not future.done():
@@ -325,21 +330,21 @@
     # -- messages ---------------------------------------------------------
 
     @singledispatchmethod
-    def _take(self, message, body):
+    def _handle_message(self, message, body):
         self._links.take(self._member, message, body)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Answer | Refused | Unsure, body):
         self._links.events.clock.merge(message.clock)
-        self._take_load(message.load)
+        self._apply_load(message.load)
         self._reply(message, body)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Claimed, body):
         self._links.events.clock.merge(message.clock)
         self._reply(message, body)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: SendBody, body):
         call = self._calls.get(message.id)
         if call is not None:
@@ -349,32 +354,32 @@
 
     async def _send_body(self, call, connection):
         try:
-            await connection.send_whole(CallBody(call.id, len(call.body)), call.body)
+            await connection.send_in_chunks(CallBody(call.id, len(call.body)), call.body)
         except (PeerError, ConnectionError):
-            # The owner hears of the lost connection, and that the call did not run.
+            # The owner notices the lost connection itself and doesn't run the call.
             self._links.metrics.count("unsent_notices")
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Pong, body):
         self._links.events.clock.merge(message.clock)
-        self._take_load(message.load)
+        self._apply_load(message.load)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: State, body):
-        self._take_load(message.load)
+        self._apply_load(message.load)
 
     def _reply(self, message, body):
-        # A reply that comes twice, or after its caller was told something
-        # else, finds nobody waiting under its number: it is counted and
-        # dropped, and no other call can get it.
+        # A duplicate reply, or one that arrives after its call has ended, has no
+        # pending future and is counted and dropped.  Ids are not reused, so it can't
+        # be taken for the reply to another call.
         future = self._pending.pop(message.id, None)
         if future is None or future.done():
             self._links.metrics.count("late_replies")
             return
         future.set_result((message, body))
 
-    def _take_load(self, report):
-        load = load_from(report)
+    def _apply_load(self, report):
+        load = load_from_report(report)
         self._member.estimate.take_load(load)
         if load.state == ServerState.STOPPING:
             self._links.members.mark_leaving(self._member.host, self._member.incarnation)
--- a/caperstack/peers/links.py
+++ b/caperstack/peers/links.py
@@ -1,17 +1,25 @@
-"""The links of a node: one to each member that it calls."""
+"""Manage the links of a node, one to each remote member."""
 
 import asyncio
 
 from caperstack.admission.local import LocalOwner
 from caperstack.clock import wall_microseconds
 from caperstack.peers.link import PING_SECONDS, Link
-from caperstack.peers.translate import hello_of
+from caperstack.peers.translate import hello_message
 
 __all__ = ["Links"]
 
 
 class Links:
-    """The service that holds a link to each member that is called."""
+    """Manage a link to each remote member and notify observers of their connections.
+
+    Parameters
+    ----------
+    here : caperstack.config.here.Here
+        This node's identity and addresses.
+    security : PeerSecurity or PlaintextSecurity
+        Supplies the TLS context for dialling.
+    """
 
     def __init__(self, here, security):
         self._here = here
@@ -22,59 +30,59 @@
         self.incarnation = wall_microseconds()
 
     async def start(self, kernel):
-        """Make the way to each member."""
+        """Follow the member list and start the liveness checks."""
         self.events = kernel.find("events")
         self.metrics = kernel.find("metrics")
         self.members = kernel.find("members")
         self._owner = kernel.find("owner")
         self.members.listen(self._on_member)
-        self._heart = asyncio.create_task(self._beat())
+        self._liveness_task = asyncio.create_task(self._check_liveness_loop())
 
     async def stop(self):
         """Close all links."""
-        self._heart.cancel()
+        self._liveness_task.cancel()
         for link in (*self._links.values(), *self._retiring):
             link.close()
 
-    async def _beat(self):
-        # One task for all links: a timer for each took most of a link's cost.
+    async def _check_liveness_loop(self):
+        # One task serves all links: a timer per link was most of the cost of a link.
         while True:
             await asyncio.sleep(PING_SECONDS)
             for link in (*self._links.values(), *self._retiring):
-                link.beat()
+                link.check_liveness()
             self._retiring = [link for link in self._retiring if not link.retired]
 
     def hello(self):
-        """Return this node's hello."""
-        return hello_of(self._here, self.incarnation, self._owner.load)
+        """Return the `Hello` message of this node."""
+        return hello_message(self._here, self.incarnation, self._owner.load)
 
     def client_tls(self):
-        """Return the TLS context for dialling, or ``None`` where plain is allowed."""
+        """Return the TLS context for dialling, or ``None`` for plaintext."""
         return self._security.client_context()
 
-    def heard_from(self, host):
-        """The peer `host` has dialled this node: it lives, dial it as well."""
+    def on_peer_dialled(self, host):
+        """Dial `host` at once, since it has dialled this node and so is up."""
         link = self._links.get(host)
         if link is not None and link.connection is None:
             link.touch()
-            link.hurry()
+            link.redial_now()
 
     def hook(self, hook):
-        """Let `hook` hear of links: ``opened``, ``closed`` and ``take``."""
+        """Register an observer with the methods ``opened``, ``closed`` and ``take``."""
         self._hooks.append(hook)
 
     def opened(self, member, connection):
-        """A link to `member` is up."""
+        """Notify the hooks that the link to `member` is up."""
         for hook in self._hooks:
             hook.opened(member.host, connection)
 
     def closed(self, member):
-        """The link to `member` is down."""
+        """Notify the hooks that the link to `member` is down."""
         for hook in self._hooks:
             hook.closed(member.host)
 
     def take(self, member, message, body):
-        """Hand a message that is no reply to those who want it."""
+        """Pass a message that is not a reply to the hooks."""
         link = self._links.get(member.host)
         if link is None:
             return
--- a/caperstack/peers/messages.py
+++ b/caperstack/peers/messages.py
@@ -1,4 +1,7 @@
-"""The typed messages between nodes."""
+"""Typed messages between nodes.
+
+Fields that end in ``_us`` are in microseconds, in ``_ms`` in milliseconds.
+"""
 
 from typing import Annotated
 
@@ -32,21 +35,21 @@
     "Unsure",
 ]
 
-#: The version of the messages below; a peer that speaks another is turned away.
+#: Version of the message format; a peer that uses another is rejected in the handshake.
 VERSION = 6
 
 
-#: More ends of one request than a node keeps are never told of it.
-ENDS_TOLD_MOST = 32
+#: Limit on the crashes in one `SuspicionReport`; more than a node keeps per request.
+MAX_SUSPECTED_ENDS = 32
 
 _Hash = Annotated[int, msgspec.Meta(ge=0)]
 
 
-class _Message(msgspec.Struct, array_like=True, gc=False):
+class _MessageStruct(msgspec.Struct, array_like=True, gc=False):
     pass
 
 
-class LoadReport(_Message):
+class LoadReport(_MessageStruct):
     """A `caperstack.calls.model.Load` on the wire."""
 
     in_flight: int
@@ -59,8 +62,11 @@
     pace: int
 
 
-class Hello(_Message, tag=1):
-    """The first message of each side; ``sent_us`` is the sender's monotonic clock."""
+class Hello(_MessageStruct, tag=1):
+    """The first message of each side.
+
+    ``sent_us`` is the sender's monotonic clock.
+    """
 
     version: int
     host: str
@@ -71,10 +77,12 @@
     load: LoadReport
 
 
-class CallMessage(_Message, tag=2):
-    """A call for the owner's backend server; times are in microseconds.
+class CallMessage(_MessageStruct, tag=2):
+    """A call for the owner's backend server.
 
-    With ``withheld`` its body comes later, when the owner asks for it.
+    ``left_us``, ``queue_us`` and ``objective_us`` are the times left until the call's
+    deadline, the end of its wait in the queue and its latency objective.  If
+    ``withheld`` is set, the body is sent only when the owner requests it.
     """
 
     id: int
@@ -99,21 +107,21 @@
     withheld: bool = False
 
 
-class SendBody(_Message, tag=21):
-    """The owner is about to run a call whose body the entry has kept."""
+class SendBody(_MessageStruct, tag=21):
+    """The owner requests the withheld body of a call that it is about to run."""
 
     id: int
 
 
-class CallBody(_Message, tag=22):
-    """The body of a call; it follows."""
+class CallBody(_MessageStruct, tag=22):
+    """The withheld body of a call, which follows the message."""
 
     id: int
     size: int
 
 
-class Answer(_Message, tag=3):
-    """The backend server's answer; the body follows."""
+class Answer(_MessageStruct, tag=3):
+    """The backend server's answer; its body follows the message."""
 
     id: int
     size: int
@@ -124,8 +132,8 @@
     clock: int
 
 
-class Refused(_Message, tag=4):
-    """Proof by the owner that the call did not run and will not."""
+class Refused(_MessageStruct, tag=4):
+    """The owner guarantees that the call did not run and will not run."""
 
     id: int
     reason: str
@@ -135,10 +143,11 @@
     offered: bool
 
 
-class Unsure(_Message, tag=5):
-    """The owner sent the call to its backend server and got no whole answer.
+class Unsure(_MessageStruct, tag=5):
+    """The owner sent the call to its backend server and got no complete answer.
 
-    ``end`` names the end of the server with the call at work; 0 if it lives.
+    ``end`` is the number of the crash if the backend server crashed while it ran the
+    call, otherwise 0.
     """
 
     id: int
@@ -149,12 +158,12 @@
     end: int
 
 
-class Revoke(_Message, tag=6):
-    """The entry gives a call up; with ``reply`` it wants to know how it ended.
+class Revoke(_MessageStruct, tag=6):
+    """The entry abandons a call or, with ``reply``, asks how it ended.
 
-    Without ``reply`` the owner cancels what it can and says nothing.
-    ``age_us`` is how long ago the call was sent, ``sent_us`` the sender's
-    monotonic clock now.
+    Without ``reply`` the owner cancels the call if it can and sends nothing back.
+    ``age_us`` is the time since the call was sent, ``sent_us`` the sender's monotonic
+    clock when this message was sent.
     """
 
     id: int
@@ -163,20 +172,20 @@
     sent_us: int = 0
 
 
-class Chunk(_Message, tag=7):
-    """A further part of the body of message ``id``."""
+class Chunk(_MessageStruct, tag=7):
+    """The next part of the body of message ``id``."""
 
     id: int
 
 
-class Ping(_Message, tag=8):
-    """A heartbeat that wants a `Pong`."""
+class Ping(_MessageStruct, tag=8):
+    """A heartbeat request, answered by a `Pong`."""
 
     id: int
     clock: int
 
 
-class Pong(_Message, tag=9):
+class Pong(_MessageStruct, tag=9):
     """The reply to a `Ping`."""
 
     id: int
@@ -184,17 +193,17 @@
     clock: int
 
 
-class State(_Message, tag=10):
-    """The owner's load or state changed enough to say so unasked."""
+class State(_MessageStruct, tag=10):
+    """An unsolicited update of the owner's load and state."""
 
     load: LoadReport
 
 
-class Claim(_Message, tag=11):
-    """Ask a keeper to record an idempotency key.
+class Claim(_MessageStruct, tag=11):
+    """A request to a keeper to record an idempotency key.
 
-    ``born_us`` is 0 for a key whose birth cannot be read; ``keepers`` are all
-    that the sender asks.
+    ``born_us`` is when the key was created, or 0 if the key doesn't tell; ``keepers``
+    are all keepers that the sender asks.
     """
 
     id: int
@@ -207,8 +216,11 @@
     window_us: int
 
 
-class Claimed(_Message, tag=12):
-    """The keeper's verdict on a claim, a `caperstack.idempotency.keeper.Verdict`."""
+class Claimed(_MessageStruct, tag=12):
+    """The reply to a `Claim`.
+
+    ``verdict`` is a `caperstack.idempotency.keeper.Verdict`.
+    """
 
     id: int
     verdict: int
@@ -216,8 +228,11 @@
     clock: int
 
 
-class Settle(_Message, tag=13):
-    """How the holder's call under a key ended: ``ran`` is false only on proof."""
+class Settle(_MessageStruct, tag=13):
+    """How the call that holds an idempotency key ended.
+
+    ``ran`` is false only if the call is known not to have run.
+    """
 
     service: str
     key: str
@@ -225,22 +240,23 @@
     ran: bool
 
 
-class Revisions(_Message, tag=14):
-    """Revisions of subtrees that the sender holds; with ``buckets`` all in those.
+class Revisions(_MessageStruct, tag=14):
+    """Revisions of configuration subtrees that the sender holds.
 
-    To the list of whole buckets the receiver replies with what it holds higher there.
+    With ``buckets`` they are all its revisions in these buckets, and the receiver
+    replies with the higher revisions that it holds there.
     """
 
     revisions: dict[str, int]
     buckets: list[int] = []
 
 
-class Digest(_Message, tag=18):
-    """A number that is equal where all revisions are equal.
+class Digest(_MessageStruct, tag=18):
+    """A hash over all revisions, equal on two nodes if their revisions are equal.
 
-    With ``reading`` it tells that the platform was read, ``read_age_us`` ago at
-    ``sent_us`` on the sender's monotonic clock; the number names the reading.
-    ``era`` is that of the platform's revisions, first seen ``era_age_us`` ago.
+    A nonzero ``reading`` is the number of a platform read that began
+    ``read_age_us`` before ``sent_us``, a time on the sender's monotonic clock.
+    ``era`` is the era of the platform's revisions, first seen ``era_age_us`` before it.
     """
 
     value: int
@@ -251,24 +267,27 @@
     era_age_us: int = 0
 
 
-class Buckets(_Message, tag=19):
-    """The sender's digest, and that of each bucket of subtrees.
+class Buckets(_MessageStruct, tag=19):
+    """The sender's digest over all subtrees and its digest of each bucket of them.
 
-    The receiver replies with its revisions in the buckets that differ.
+    The receiver replies with its revisions in the buckets whose digests differ.
     """
 
     value: int
     values: list[int]
 
 
-class Fetch(_Message, tag=15):
-    """Ask for the bodies of subtrees."""
+class Fetch(_MessageStruct, tag=15):
+    """A request for the bodies of subtrees."""
 
     paths: list[str]
 
 
-class SubtreeBody(_Message, tag=16):
-    """A subtree at a revision, deleted or with its JSON text, packed by zlib, as the body."""
+class SubtreeBody(_MessageStruct, tag=16):
+    """A subtree at a revision.
+
+    The body is its JSON text, compressed with zlib, unless the subtree is deleted.
+    """
 
     id: int
     size: int
@@ -277,7 +296,7 @@
     deleted: bool
 
 
-class SuspectedEnd(_Message):
+class SuspectedEnd(_MessageStruct):
     """A `caperstack.quarantine.suspects.End` on the wire."""
 
     number: _Hash
@@ -285,15 +304,15 @@
     clearing: Annotated[int, msgspec.Meta(ge=0, le=2)]
 
 
-class SuspicionReport(_Message):
+class SuspicionReport(_MessageStruct):
     """A `caperstack.quarantine.suspects.Suspicion` on the wire."""
 
     request: _Hash
-    ends: Annotated[list[SuspectedEnd], msgspec.Meta(max_length=ENDS_TOLD_MOST)]
+    ends: Annotated[list[SuspectedEnd], msgspec.Meta(max_length=MAX_SUSPECTED_ENDS)]
 
 
-class Suspicions(_Message, tag=20):
-    """What the sender knows of requests that were at work when servers ended."""
+class Suspicions(_MessageStruct, tag=20):
+    """The sender's records of requests that were running when backend servers crashed."""
 
     items: list[SuspicionReport]
 
--- a/caperstack/peers/port.py
+++ b/caperstack/peers/port.py
@@ -1,4 +1,4 @@
-"""The peer port: the connections that other nodes dial, one task for each."""
+"""The server side of the peer protocol: connections dialled by other nodes."""
 
 import asyncio
 from functools import singledispatchmethod
@@ -9,7 +9,7 @@
 from caperstack.exception import PeerError
 from caperstack.peers.connection import (
     BUFFER_BYTES,
-    HANDSHAKE_SECONDS,
+    HANDSHAKE_TIMEOUT_SECONDS,
     PeerConnection,
 )
 from caperstack.peers.messages import (
@@ -24,39 +24,55 @@
     State,
 )
 from caperstack.peers.security import RELOAD_SECONDS
-from caperstack.peers.translate import call_from, hello_of, load_report, reply_to
+from caperstack.peers.translate import (
+    call_from_message,
+    hello_message,
+    load_report,
+    reply_for_outcome,
+)
 from caperstack.peers.withheld import WithheldBodies, WithheldBody
 
 __all__ = ["PeerPort"]
 
-#: Connections that may be open without a finished handshake.
-STRANGERS_MOST = 64
+#: Limit on connections whose handshake is not complete.
+MAX_PENDING_HANDSHAKES = 64
 
-#: How often a changed load is pushed, and how much change is worth a push.
+#: How often the load is compared with the load that was pushed last.
 PUSH_SECONDS = 0.1
-PUSH_FACTOR = 2.0
 
-#: How far the crowding must move to be worth a push, in calls a slot.
-PUSH_CROWDING = 0.25
+#: Change of the service time, as a factor up or down, that triggers a push.
+MIN_SERVICE_TIME_FACTOR = 2.0
+
+#: Change of the occupancy that triggers a push, in calls per slot.
+MIN_OCCUPANCY_CHANGE = 0.25
 
-#: How often at most a changed crowding alone is pushed, in seconds.
-PUSH_CROWDING_SECONDS = 0.3
+#: Minimum interval between pushes that only a changed occupancy triggers.
+OCCUPANCY_PUSH_SECONDS = 0.3
 
-#: How long a stop waits for the tasks of closed connections, in seconds; they end
-#: in the next turns of the loop.
+#: How long `PeerPort.stop` waits for the tasks of closed connections.  They normally
+#: end within a few iterations of the event loop.
 STOP_SECONDS = 0.2
 
-#: Silence after which an entry counts as gone, in seconds.
+#: Silence after which the connection of an entry is dropped.
 ENTRY_SILENT_SECONDS = 30.0
 
 
 class PeerPort:
-    """Accept peers and serve their calls, heartbeats, claims and settings.
+    """Accept connections of peers and serve their calls, heartbeats and claims.
+
+    Other messages, such as settings, go to the registered hooks.
+
+    Parameters
+    ----------
+    here : caperstack.config.here.Here
+        This node's identity and addresses.
+    security : PeerSecurity or PlaintextSecurity
+        Supplies the TLS context for accepting.
 
     Notes
     -----
-    A peer that sends rubbish is cut off and counted; the error ends its own
-    task and nothing else.
+    A peer that sends invalid data is disconnected and counted; the error ends the task
+    of that connection and affects no other.
     """
 
     def __init__(self, here, security):
@@ -66,56 +82,56 @@
         self._connections = {}
         self._withheld = WithheldBodies()
         self._tasks = set()
-        self._accepted = set()
+        self._connection_tasks = set()
         self._calls = 0
-        self._strangers = 0
-        self._pushed = None
-        self._crowding_due = 0.0
-        self._pusher = None
-        self._keys_watcher = None
+        self._pending_handshakes = 0
+        self._last_pushed = None
+        self._occupancy_push_at = 0.0
+        self._push_task = None
+        self._key_watch_task = None
         self._context = None
         self._hooks = []
 
     @property
     def peers(self):
-        """The hosts whose connections are open here."""
+        """The hosts that have an open connection to this port, sorted."""
         return sorted({connection.hello.host for connection in self._connections})
 
     @property
     def calls(self):
-        """How many calls of peers are being served."""
+        """The number of peers' calls and revocations in progress."""
         return self._calls
 
     async def start(self, kernel):
-        """Listen."""
+        """Listen on the peer address and start the background tasks."""
         self._events = kernel.find("events")
         self._metrics = kernel.find("metrics")
         self._owner = kernel.find("owner")
         self._keeper = kernel.find("keeper") if "keeper" in kernel.names else None
         self._links = kernel.find("links")
         await self._listen(self._security.server_context())
-        self._owner.listen(self.tell_state)
-        self._pusher = asyncio.create_task(self._push_for_ever())
-        self._keys_watcher = asyncio.create_task(self._watch_keys())
+        self._owner.listen(self.push_state)
+        self._push_task = asyncio.create_task(self._push_loop())
+        self._key_watch_task = asyncio.create_task(self._watch_keys())
 
     async def stop(self):
-        """Close the port and all connections."""
-        self._pusher.cancel()
-        self._keys_watcher.cancel()
+        """Close the listening socket and all connections."""
+        self._push_task.cancel()
+        self._key_watch_task.cancel()
         self._server.close()
         for connection in list(self._connections):
             connection.close()
-        # Their tasks end with them.  Cancelled with the loop instead, each
-        # leaves a traceback on standard error.
-        if self._accepted:
-            await asyncio.wait(self._accepted, timeout=STOP_SECONDS)
+        # The tasks end once their connections are closed.  A task that is cancelled
+        # with the event loop instead prints a traceback to standard error.
+        if self._connection_tasks:
+            await asyncio.wait(self._connection_tasks, timeout=STOP_SECONDS)
 
     async def _listen(self, context):
         self._context = context
         ip, port = split_address(self._here.peer_address)
-        # A stranger that begins no TLS would otherwise hold its connection
-        # for a minute.
-        limit = HANDSHAKE_SECONDS if context is not None else None
+        # Without a limit, a client that never starts the TLS handshake would hold its
+        # connection for a minute, the asyncio default.
+        limit = HANDSHAKE_TIMEOUT_SECONDS if context is not None else None
         self._server = await asyncio.start_server(
             self._accept,
             ip,
@@ -126,8 +142,8 @@
         )
 
     async def _watch_keys(self):
-        # Connections that are open keep the keys they began with; new ones
-        # must meet the new authority.
+        # Open connections keep the keys they started with; new connections are
+        # verified against the new authorities.
         while True:
             await asyncio.sleep(RELOAD_SECONDS)
             context = self._security.server_context()
@@ -137,79 +153,79 @@
                 self._events.state("peer keys", "older", "new ones in force")
 
     def hook(self, hook):
-        """Let `hook` hear of connections: ``opened``, ``closed`` and ``take``."""
+        """Register an observer with the methods ``opened``, ``closed`` and ``take``."""
         self._hooks.append(hook)
 
-    def tell_state(self):
-        """Push the current load to all peers at once."""
+    def push_state(self):
+        """Push the current load now, to all entries if the state has changed."""
         self._push(self._owner.load)
 
     async def _accept(self, reader, writer):
         address = ":".join(str(part) for part in writer.get_extra_info("peername")[:2])
         connection = PeerConnection(reader, writer, address, self._metrics)
         task = asyncio.current_task()
-        self._accepted.add(task)
-        task.add_done_callback(self._accepted.discard)
+        self._connection_tasks.add(task)
+        task.add_done_callback(self._connection_tasks.discard)
         try:
-            await self._greet(connection)
+            await self._perform_handshake(connection)
             await self._serve(connection)
         except Exception as error:
-            # One peer's rubbish, or a fault of ours that it brought about,
-            # ends its own connection and nothing else.
+            # Invalid data from a peer, or a programming error that it triggers, closes
+            # this connection only.
             self._metrics.count("peer_errors", kind=type(error).__name__)
             self._events.add("peer", f"cut off {address}: {error}")
         finally:
             connection.abort()
-            self._withheld.drop(connection)
+            self._withheld.fail_all(connection)
             if self._connections.pop(connection, None):
                 for hook in self._hooks:
                     hook.closed(connection.hello.host)
 
-    async def _greet(self, connection):
-        if self._strangers >= STRANGERS_MOST:
+    async def _perform_handshake(self, connection):
+        if self._pending_handshakes >= MAX_PENDING_HANDSHAKES:
             raise PeerError("too many strangers", step="accept", peer=connection.address)
-        self._strangers += 1
+        self._pending_handshakes += 1
         try:
             await connection.handshake(
-                hello_of(self._here, self._links.incarnation, self._owner.load)
+                hello_message(self._here, self._links.incarnation, self._owner.load)
             )
         finally:
-            self._strangers -= 1
+            self._pending_handshakes -= 1
 
     async def _serve(self, connection):
         self._connections[connection] = True
-        self._links.heard_from(connection.hello.host)
-        # Failure: the state changes between our hello and this line, nobody is
-        # told, and the entry leaves a host alone that has just become ready,
-        # until its next heartbeat two seconds later.
-        self._tell_load(connection)
+        self._links.on_peer_dialled(connection.hello.host)
+        # The state may have changed since the hello was sent, while the connection was
+        # not yet among those that get pushes.  Without this update the entry would
+        # avoid a server that has just become ready until its next heartbeat, 2 s later.
+        self._send_load(connection)
         for hook in self._hooks:
             hook.opened(connection.hello.host, connection)
         async for message, body in connection.messages():
-            self._take(message, body, connection)
+            self._handle_message(message, body, connection)
 
     # -- messages ---------------------------------------------------------
 
     @singledispatchmethod
-    def _take(self, message, body, connection):
+    def _handle_message(self, message, body, connection):
         for hook in self._hooks:
             hook.take(connection.hello.host, connection, message, body)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: CallMessage, body, connection):
         self._events.clock.merge(message.clock)
         lateness = connection.transit.lateness(message.sent_us / 1e6, connection.arrival)
-        call = call_from(message, body, connection.hello.host, connection.arrival, lateness)
+        call = call_from_message(message, body, connection.hello.host, connection.arrival, lateness)
         if message.withheld:
             call.withheld = WithheldBody(self._withheld, connection, message.id)
-        connection.interest.called()
+        connection.interest.record_call()
         self._spawn(self._run(call, connection))
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: CallBody, body, connection):
-        self._withheld.bring(connection, message.id, body)
+        self._withheld.deliver(connection, message.id, body)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Revoke, body, connection):
         origin = connection.hello.host
         if message.reply:
@@ -219,20 +235,20 @@
         else:
             self._owner.abandon(origin, message.id)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Ping, body, connection):
         self._events.clock.merge(message.clock)
-        pong = Pong(message.id, self._report(connection), self._events.clock.tick())
+        pong = Pong(message.id, self._record_and_report_load(connection), self._events.clock.tick())
         self._send(connection, pong)
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Claim, body, connection):
         if self._keeper is None:
             return
         verdict, vouches = self._keeper.claim(message)
         self._send(connection, Claimed(message.id, verdict, vouches, self._events.clock.tick()))
 
-    @_take.register
+    @_handle_message.register
     def _(self, message: Settle, body, connection):
         if self._keeper is not None:
             self._keeper.settle(message)
@@ -248,7 +264,7 @@
         begun = now()
         self._calls += 1
         try:
-            outcome = await self._owner.run(call, lambda: self._tell_load(connection))
+            outcome = await self._owner.run(call, lambda: self._send_load(connection))
             self._events.call("owner", call, outcome, begun)
             await self._reply(call.id, outcome, connection)
         finally:
@@ -264,23 +280,23 @@
             self._calls -= 1
 
     async def _reply(self, number, outcome, connection):
-        report = self._report(connection)
-        message, body = reply_to(outcome, number, report, self._events.clock.tick())
+        report = self._record_and_report_load(connection)
+        message, body = reply_for_outcome(outcome, number, report, self._events.clock.tick())
         try:
-            await connection.send_whole(message, body)
+            await connection.send_in_chunks(message, body)
         except (PeerError, ConnectionError):
-            # The entry will ask again over a new connection: Owner remembers.
+            # The entry asks again over a new connection; the owner keeps the outcome.
             self._metrics.count("replies_without_connection")
 
-    def _tell_load(self, connection):
-        # A call that waits brings no answer for long, and its entry would go
-        # on sending: it hears of the queue at once.
-        self._send(connection, State(self._report(connection)))
+    def _send_load(self, connection):
+        # Sent, among others, when a call is queued: its answer, which also carries the
+        # load, comes late, and meanwhile the entry would keep sending calls.
+        self._send(connection, State(self._record_and_report_load(connection)))
 
-    def _report(self, connection):
-        """Return the report of the load now, which the entry is told."""
+    def _record_and_report_load(self, connection):
+        """Return a report of the current load and record that the entry gets it."""
         load = self._owner.load
-        connection.interest.told(load)
+        connection.interest.record_load(load)
         return load_report(load)
 
     def _send(self, connection, message):
@@ -291,57 +307,61 @@
 
     # -- load -------------------------------------------------------------
 
-    async def _push_for_ever(self):
+    async def _push_loop(self):
         while True:
             await asyncio.sleep(PUSH_SECONDS)
             load = self._owner.load
-            if self._worth_telling(load):
+            if self._is_significant_change(load):
                 self._push(load)
-            self._drop_silent()
+            self._drop_silent_connections()
 
-    def _drop_silent(self):
-        # An entry pings an idle connection every few seconds.  One that is
-        # silent for long is gone without a word, and what waits to be sent to
-        # it would hold memory for ever.
+    def _drop_silent_connections(self):
+        # An entry pings an idle connection every few seconds.  A silent one is gone
+        # without closing its connection, and its write buffer would never be freed.
         limit = now() - ENTRY_SILENT_SECONDS
         for connection in list(self._connections):
             if connection.arrival < limit:
                 connection.abort()
 
-    def _worth_telling(self, load):
-        last = self._pushed
+    def _is_significant_change(self, load):
+        last = self._last_pushed
         if last is None or load.state != last.state:
             return True
-        if now() >= self._crowding_due and _moved(load, last) >= PUSH_CROWDING:
+        if (
+            now() >= self._occupancy_push_at
+            and _occupancy_change(load, last) >= MIN_OCCUPANCY_CHANGE
+        ):
             return True
         before = max(1, last.service_us)
         after = max(1, load.service_us)
-        return not 1 / PUSH_FACTOR < after / before < PUSH_FACTOR
+        return not 1 / MIN_SERVICE_TIME_FACTOR < after / before < MIN_SERVICE_TIME_FACTOR
 
     def _push(self, load):
-        """Tell `load` to the entries that have use for it, and a changed state to all.
+        """Send `load` to the entries that need it, or to all if the state has changed.
 
         Notes
         -----
-        Failure: a backend server is listed again, or starts again, seconds after
-        its entry was gone.  Entries that take it for leaving do not call, so
-        they were not told, and left it alone until their next heartbeat two
-        seconds later; a call whose other servers were gone was refused.
+        A backend server may be listed again, or restart, seconds after it was removed
+        from the host list.  Entries that believe it is leaving send no calls, so they
+        don't count as interested in its load.  If they weren't told of the new state,
+        they would avoid the server until their next heartbeat, 2 s later, and refuse
+        a call for which no other server is left.
         """
-        changed = self._pushed is None or load.state != self._pushed.state
-        self._pushed = load
-        self._crowding_due = deadline_after(PUSH_CROWDING_SECONDS)
+        changed = self._last_pushed is None or load.state != self._last_pushed.state
+        self._last_pushed = load
+        self._occupancy_push_at = deadline_after(OCCUPANCY_PUSH_SECONDS)
         message = State(load_report(load))
         for connection in list(self._connections):
-            if changed or connection.interest.wants(load):
-                connection.interest.told(load)
+            if changed or connection.interest.wants_update(load):
+                connection.interest.record_load(load)
                 self._send(connection, message)
 
 
-def _moved(load, last):
-    """Return how far the crowding has moved, in calls a slot."""
-    return abs(_crowding(load) - _crowding(last))
+def _occupancy_change(load, last):
+    """Return the absolute change of the occupancy, in calls per slot."""
+    return abs(_occupancy(load) - _occupancy(last))
 
 
-def _crowding(load):
+def _occupancy(load):
+    """Return the running and queued calls per slot."""
     return (load.in_flight + load.queued) / max(1, load.limit)
--- a/caperstack/peers/security.py
+++ b/caperstack/peers/security.py
@@ -7,22 +7,22 @@
 from caperstack.clock import deadline_after, now
 from caperstack.exception import ConfigurationError
 
-__all__ = ["PeerSecurity", "Plain"]
+__all__ = ["PeerSecurity", "PlaintextSecurity"]
 
-#: How long a loaded key is used before its source is read again, in seconds.
+#: How often the sources of certificate, key and authorities are read again.
 RELOAD_SECONDS = 10.0
 
 _PEM_MARK = "-----BEGIN"
 
 
 @contextmanager
-def _as_path(source):
+def _pem_path(source):
     """Yield a path for `source`, which is a path or PEM text.
 
     Notes
     -----
-    The TLS library reads keys from files only, and hosts have no disks: text
-    is put into an anonymous file in memory for the moment of loading.
+    The TLS library loads keys from files only, and the hosts have no disks, so PEM
+    text is written to an anonymous in-memory file while it is loaded.
     """
     if _PEM_MARK not in source:
         yield source
@@ -35,7 +35,7 @@
         os.close(descriptor)
 
 
-def _text_of(source):
+def _read_pem(source):
     if _PEM_MARK in source:
         return source
     with open(source, encoding="utf-8") as file:
@@ -43,86 +43,87 @@
 
 
 class PeerSecurity:
-    """The TLS contexts of the peer port, or none where plain was asked for.
+    """Provide the TLS contexts between nodes, or none in the mode ``plain``.
 
     Parameters
     ----------
     settings : caperstack.config.start.SecuritySettings
-        Mode, certificate, key and authorities, each a path or PEM text.
+        The mode; certificate, key and authorities, each a path or PEM text.
     """
 
     def __init__(self, settings):
         self._settings = settings
         self._contexts = {}
-        self._loaded = {}
-        self._fresh_until = {}
+        self._loaded_pems = {}
+        self._reload_at = {}
 
     async def start(self, kernel):
-        """Load the keys once, so that a wrong one shows at the start."""
+        """Load the keys once, so that an invalid one is reported at startup."""
         self._events = kernel.find("events")
         self.client_context()
         self.server_context()
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing."""
 
     def client_context(self):
-        """Return the context for dialling, or ``None``."""
-        return self._current(ssl.PROTOCOL_TLS_CLIENT)
+        """Return the TLS context for dialling, or ``None`` for plaintext."""
+        return self._current_context(ssl.PROTOCOL_TLS_CLIENT)
 
     def server_context(self):
-        """Return the context for accepting, or ``None``."""
-        return self._current(ssl.PROTOCOL_TLS_SERVER)
+        """Return the TLS context for accepting, or ``None`` for plaintext."""
+        return self._current_context(ssl.PROTOCOL_TLS_SERVER)
 
-    def _current(self, protocol):
+    def _current_context(self, protocol):
         if self._settings.mode == "plain":
             return None
-        if now() < self._fresh_until.get(protocol, 0.0):
+        if now() < self._reload_at.get(protocol, 0.0):
             return self._contexts[protocol]
-        self._fresh_until[protocol] = deadline_after(RELOAD_SECONDS)
+        self._reload_at[protocol] = deadline_after(RELOAD_SECONDS)
         try:
-            sources = self._sources()
-            if sources != self._loaded.get(protocol):
+            sources = self._read_sources()
+            if sources != self._loaded_pems.get(protocol):
                 self._contexts[protocol] = self._load(protocol)
-                self._loaded[protocol] = sources
+                self._loaded_pems[protocol] = sources
         except (OSError, ssl.SSLError) as error:
             if protocol not in self._contexts:
                 raise ConfigurationError(
                     str(error), step="start settings", peer="security"
                 ) from None
-            # A half-written key must not take the node out of the fleet.
+            # Keep the old keys: a half-written key file must not isolate the node.
             self._events.state("peer keys", "in force", f"kept, new ones unreadable: {error}")
         return self._contexts[protocol]
 
-    def _sources(self):
-        """Return the text of certificate, key and authorities."""
+    def _read_sources(self):
+        """Return the PEM texts of certificate, key and authorities."""
         settings = self._settings
         return tuple(
-            _text_of(source)
+            _read_pem(source)
             for source in (settings.certificate, settings.key, settings.authorities)
         )
 
     def _load(self, protocol):
         context = ssl.SSLContext(protocol)
         context.minimum_version = ssl.TLSVersion.TLSv1_3
-        # Peers are named by address; the authority, not the name, admits them.
+        # Peers are addressed by IP; they are admitted by their certificate authority,
+        # not by a host name.
         context.check_hostname = False
         context.verify_mode = ssl.CERT_REQUIRED
         with (
-            _as_path(self._settings.certificate) as certificate,
-            _as_path(self._settings.key) as key,
-            _as_path(self._settings.authorities) as authorities,
+            _pem_path(self._settings.certificate) as certificate,
+            _pem_path(self._settings.key) as key,
+            _pem_path(self._settings.authorities) as authorities,
         ):
             context.load_cert_chain(certificate, key)
             context.load_verify_locations(authorities)
         return context
 
 
-class Plain:
-    """No TLS between nodes: the network that they share is trusted."""
+class PlaintextSecurity:
+    """Use no TLS between nodes, on a trusted network."""
 
     def server_context(self):
-        """Return ``None``: connections are accepted as they are."""
+        """Return ``None``: connections are accepted without TLS."""
 
     def client_context(self):
-        """Return ``None``: connections are dialled as they are."""
+        """Return ``None``: connections are dialled without TLS."""
--- a/caperstack/peers/tests/test_port.py
+++ b/caperstack/peers/tests/test_port.py
@@ -1,4 +1,4 @@
-"""What an owner tells the entries that are connected to it."""
+"""Load updates from an owner to its connected entries."""
 
 import unittest
 from dataclasses import replace
@@ -6,24 +6,24 @@
 
 from caperstack.calls.model import Load, ServerState
 from caperstack.clock import now, use_source
-from caperstack.peers.interest import CALLS_SECONDS, Interest
+from caperstack.peers.interest import CALLS_SECONDS, LoadInterest
 from caperstack.peers.port import PeerPort
 
 
 class FakeConnection:
-    """Notes the states that it is sent."""
+    """Record the states that are sent on it."""
 
     def __init__(self, moment):
         with use_source(lambda: moment):
-            self.interest = Interest()
-        self.told = []
+            self.interest = LoadInterest()
+        self.sent = []
 
     def send(self, message):
-        self.told.append(message.load.state)
+        self.sent.append(message.load.state)
 
 
 class TestPushes(unittest.TestCase):
-    """`PeerPort.tell_state` with one entry that calls here and one that does not."""
+    """`PeerPort.push_state` to one entry that has called lately and one that has not."""
 
     def setUp(self):
         self.port = PeerPort(None, None)
@@ -31,30 +31,30 @@
         self.caller = FakeConnection(now())
         self.other = FakeConnection(now() - 2 * CALLS_SECONDS)
         self.port._connections = {self.caller: True, self.other: True}
-        self.port.tell_state()
+        self.port.push_state()
 
-    def tell(self, **changes):
+    def push(self, **changes):
         self.owner.load = replace(self.owner.load, **changes)
-        self.port.tell_state()
-
-    def test_state_that_changes_is_told_to_all(self):
-        # A server's entry was gone and is back.  An entry that took it for
-        # leaving has not called it for seconds, and must hear of it now.
-        self.tell(state=ServerState.WARM)
-        self.assertEqual(self.other.told, [ServerState.LEAVING, ServerState.WARM])
-
-    def test_pace_is_told_to_those_who_call(self):
-        self.tell(pace=400)
-        self.assertEqual((len(self.caller.told), len(self.other.told)), (2, 1))
-
-    def test_whoever_was_told_of_a_visit_hears_of_its_end(self):
-        # An entry's call was refused since the host is slowed.  It calls
-        # elsewhere and would leave this host alone for two seconds more.
-        self.other.interest.told(replace(self.owner.load, pace=400))
-        self.tell(pace=300)
-        self.tell(pace=100)
-        self.tell(pace=110)
-        self.assertEqual(len(self.other.told), 2)
+        self.port.push_state()
+
+    def test_changed_state_is_sent_to_entries_that_do_not_call(self):
+        # A server was removed from the host list and is listed again.  An entry that
+        # took it for leaving has not called it for seconds and would keep avoiding it.
+        self.push(state=ServerState.WARM)
+        self.assertEqual(self.other.sent, [ServerState.LEAVING, ServerState.WARM])
+
+    def test_changed_slowdown_is_sent_only_to_entries_that_call(self):
+        self.push(pace=400)
+        self.assertEqual((len(self.caller.sent), len(self.other.sent)), (2, 1))
+
+    def test_entry_told_of_a_slow_phase_is_told_of_its_end(self):
+        # An entry whose call was refused because the host is slowed calls other hosts
+        # and would avoid this one for 2 s more.
+        self.other.interest.record_load(replace(self.owner.load, pace=400))
+        self.push(pace=300)
+        self.push(pace=100)
+        self.push(pace=110)
+        self.assertEqual(len(self.other.sent), 2)
 
 
 if __name__ == "__main__":
--- a/caperstack/peers/translate.py
+++ b/caperstack/peers/translate.py
@@ -1,4 +1,4 @@
-"""Between the data classes of the nodes and the messages of the wire."""
+"""Convert between the data classes of a node and the messages on the wire."""
 
 from functools import singledispatch
 
@@ -19,13 +19,13 @@
 from caperstack.quarantine.suspects import End, Suspicion
 
 __all__ = [
-    "hello_of",
-    "call_from",
+    "hello_message",
+    "call_from_message",
     "call_message",
-    "load_from",
+    "load_from_report",
     "load_report",
-    "outcome_from",
-    "reply_to",
+    "outcome_from_reply",
+    "reply_for_outcome",
     "suspicion_from",
     "suspicion_message",
 ]
@@ -45,7 +45,7 @@
     )
 
 
-def load_from(report):
+def load_from_report(report):
     """Return the `Load` of a `LoadReport`."""
     return Load(
         report.in_flight,
@@ -60,9 +60,16 @@
 
 
 def call_message(call, clock, withheld=False):
-    """Return the `CallMessage` of `call`; its deadlines become times left.
+    """Return the `CallMessage` of `call`, with its deadlines as time left.
 
-    With `withheld` its body is sent when the owner asks for it.
+    Parameters
+    ----------
+    call : caperstack.calls.model.Call
+        The call to send.
+    clock : int
+        The sender's event clock, in microseconds.
+    withheld : bool
+        Whether the body is sent only when the owner requests it.
     """
     return CallMessage(
         call.id,
@@ -88,17 +95,17 @@
     )
 
 
-def call_from(message, body, origin, arrival, lateness):
+def call_from_message(message, body, origin, arrival, lateness):
     """Return the `Call` of a `CallMessage`, with deadlines on the local clock.
 
     Parameters
     ----------
     origin : str
-        The host that sent it.
+        The host that sent the call.
     arrival : float
-        The point at which it was read.
+        When it was read, in seconds on the local monotonic clock.
     lateness : float
-        How long it was held up on the way, in seconds.
+        How long it was delayed in transit beyond the usual, in seconds.
     """
     sent = arrival - lateness
     return Call(
@@ -122,8 +129,8 @@
     )
 
 
-def hello_of(here, incarnation, load):
-    """Return the `Hello` of this node."""
+def hello_message(here, incarnation, load):
+    """Return the `Hello` message of this node."""
     return Hello(
         VERSION,
         here.host,
@@ -136,12 +143,12 @@
 
 
 @singledispatch
-def reply_to(outcome, number, report, clock):
-    """Return ``(message, body)`` that tells `outcome` of call `number`."""
-    raise TypeError(f"no such outcome: {outcome!r}")
+def reply_for_outcome(outcome, number, report, clock):
+    """Return the ``(message, body)`` that reports `outcome` of call `number`."""
+    raise TypeError(f"unsupported outcome: {outcome!r}")
 
 
-@reply_to.register
+@reply_for_outcome.register
 def _(outcome: Answered, number, report, clock):
     message = Answer(
         number, len(outcome.body), outcome.status, outcome.reason, outcome.headers, report, clock
@@ -149,34 +156,34 @@
     return message, outcome.body
 
 
-@reply_to.register
+@reply_for_outcome.register
 def _(outcome: NotRun, number, report, clock):
     wait = int(outcome.retry_after * 1000)
     return Refused(number, outcome.reason, wait, report, clock, outcome.offered), b""
 
 
-@reply_to.register
+@reply_for_outcome.register
 def _(outcome: Unknown, number, report, clock):
     return Unsure(number, outcome.reason, outcome.status, report, clock, outcome.end), b""
 
 
 @singledispatch
-def outcome_from(message, body):
-    """Return the outcome that a reply tells."""
-    raise TypeError(f"no outcome: {message!r}")
+def outcome_from_reply(message, body):
+    """Return the outcome that a reply reports."""
+    raise TypeError(f"message does not report an outcome: {message!r}")
 
 
-@outcome_from.register
+@outcome_from_reply.register
 def _(message: Answer, body):
     return Answered(message.status, message.reason, message.headers, body)
 
 
-@outcome_from.register
+@outcome_from_reply.register
 def _(message: Refused, body):
     return NotRun(message.reason, message.retry_after_ms / 1000, offered=message.offered)
 
 
-@outcome_from.register
+@outcome_from_reply.register
 def _(message: Unsure, body):
     return Unknown(message.reason, message.status, message.end)
 
