--- a/caperstack/admission/arrivals.py
+++ b/caperstack/admission/arrivals.py
@@ -19,18 +19,18 @@
 PAUSED_SECONDS = 0.05
 
 
-class Arrivals:
+class ArrivalChecks:
     """Judge calls as they arrive, and once more before they are dispatched.
 
     Parameters
     ----------
-    standing : caperstack.admission.standing.ServerStanding
+    standing : caperstack.admission.status.ServerStatus
         Whether the backend server takes calls, and for which service.
-    failures : caperstack.admission.limit.FailureShare
+    failures : caperstack.admission.limit.CircuitBreaker
         How many of its calls fail.
     times : caperstack.admission.limit.ServiceTimes
         How long calls take.
-    pace : caperstack.admission.pace.HostPace
+    pace : caperstack.admission.slowdown.HostSlowdown
         How long work takes on the host now.
     pauses : object
         ``suspect()`` tells whether this process may have stood still.
@@ -41,10 +41,10 @@
     """
 
     def __init__(self, standing, failures, times, pace, pauses, members, suspects):
-        self._standing = standing
-        self._failures = failures
+        self._status = standing
+        self._breaker = failures
         self._times = times
-        self._pace = pace
+        self._slowdown = pace
         self._pauses = pauses
         self._members = members
         self._suspects = suspects
@@ -56,20 +56,20 @@
 
     def barred(self, call):
         """Return the `NotRun` for a call that the backend server must not get, or ``None``."""
-        if self._standing.closed:
-            return NotRun(self._standing.closed_reason, 0.0)
-        if self._standing.service not in ("", call.service):
+        if self._status.closed:
+            return NotRun(self._status.closed_reason, 0.0)
+        if self._status.service not in ("", call.service):
             # An address is used again: the entry's list is older than ours.
             return NotRun("backend server is of another service", 0.0)
         return self._suspects.refusal(call)
 
     def _better_elsewhere(self, service):
         """Return the `NotRun` for a call that has other servers left to try, or ``None``."""
-        if not self._failures.passes(lambda: self._others_failing(service)):
+        if not self._breaker.passes(lambda: self._others_failing(service)):
             return NotRun("backend server fails", ELSEWHERE_SECONDS)
-        if self._pace.slowed:
+        if self._slowdown.slowed:
             return NotRun("host is slowed at this moment", ELSEWHERE_SECONDS)
-        if self._pace.unread:
+        if self._slowdown.unread:
             return NotRun("pace of the host is not known yet", ELSEWHERE_SECONDS)
         return None
 
@@ -93,7 +93,7 @@
             return NotRun("node was paused", PAUSED_SECONDS)
         if now() >= call.deadline:
             return NotRun("deadline passed before dispatch", 0.0)
-        takes = self._times.route_known(call.route) * self._pace.usual
+        takes = self._times.route_known(call.route) * self._slowdown.usual
         if time_left(call.deadline) < SHORTEST_SHARE * takes:
             return NotRun("too little time left to run", 0.0)
         return None
--- a/caperstack/admission/cold.py
+++ b/caperstack/admission/cold.py
@@ -79,7 +79,7 @@
         self._ask_at = 0.0
         self._unknown_until = 0.0
 
-    def hear(self, seconds):
+    def set_remaining(self, seconds):
         """The server says that it will be cold for so many seconds more; 0 if it is warm."""
         self._warm = seconds <= 0
         self._unheard = 0
--- a/caperstack/admission/execution.py
+++ b/caperstack/admission/execution.py
@@ -21,11 +21,11 @@
         Learns how long calls take with so many at once.
     times : caperstack.admission.limit.ServiceTimes
         Learns how long they take.
-    pace : caperstack.admission.pace.HostPace
+    pace : caperstack.admission.slowdown.HostSlowdown
         How long work takes on the host when a call begins.
-    failures : caperstack.admission.limit.FailureShare
+    failures : caperstack.admission.limit.CircuitBreaker
         Learns how many fail.
-    standing : caperstack.admission.standing.ServerStanding
+    standing : caperstack.admission.status.ServerStatus
         The instance that calls are meant for; learns that it answers.
     watch : caperstack.quarantine.crash.CrashWatch
         Knows what is at work, and learns of lost connections.
@@ -35,9 +35,9 @@
         self._client = client
         self._gate = gate
         self._times = times
-        self._pace = pace
-        self._failures = failures
-        self._standing = standing
+        self._slowdown = pace
+        self._breaker = failures
+        self._status = standing
         self._watch = watch
         self._metrics = None
         self._events = None
@@ -51,32 +51,32 @@
 
     async def run(self, call):
         """Return the `Outcome` of `call`, which holds a slot."""
-        self._times.begin((call.origin, call.id), self._pace.value, call.route)
+        self._times.begin((call.origin, call.id), self._slowdown.value, call.route)
         call.notes.append((now(), "dispatched"))
         self._events.decision(
             "owner sends",
             call,
-            instance=self._standing.instance,
+            instance=self._status.instance,
             origin=call.origin,
             asks=call.fingerprint.text,
             running=self._gate.running,
             limit=self._gate.limit,
-            pace=round(self._pace.value, 2),
+            pace=round(self._slowdown.value, 2),
         )
         counts = False
         left = Left.UNANSWERED
         begun = now()
         self._watch.begin(call)
         try:
-            answer = await self._client.fetch(call, self._standing.instance)
+            answer = await self._client.fetch(call, self._status.instance)
             if isinstance(answer, NotRun):
                 left = Left.NOT_RUN
                 return answer
             left = Left.ANSWERED
             counts = answer.status < 500 or answer.status == GATEWAY_TIMEOUT
             self._metrics.time("backend_seconds", now() - begun, call.service)
-            self._standing.note_answer()
-            self._failures.add(answer.status >= 500)
+            self._status.note_answer()
+            self._breaker.add(answer.status >= 500)
             if answer.status < 500:
                 self._suspects.note_survival(call.fingerprint)
             return answer
@@ -84,7 +84,7 @@
             # Failure: a server so slow that no call ends before its deadline
             # shows no time at all, looks as quick as ever, and draws calls.
             counts = time_left(call.deadline) <= 0
-            self._failures.add(True)
+            self._breaker.add(True)
             left = Left.UNANSWERED if error.sent else Left.NOT_RUN
             end = await self._watch.lost(call) if error.sent and not counts else None
             return self._failure(call, error, end)
--- a/caperstack/admission/gate.py
+++ b/caperstack/admission/gate.py
@@ -4,7 +4,7 @@
 import random
 
 from caperstack.admission.knee import Knee
-from caperstack.admission.limit import SlotLimit
+from caperstack.admission.limit import AdaptiveLimit
 from caperstack.admission.queue import AdmissionQueue
 from caperstack.calls.model import VISIT_SECONDS, NotRun
 from caperstack.clock import now, time_left
@@ -46,7 +46,7 @@
         Calls at once, as a share of the slots.
     times : caperstack.admission.limit.ServiceTimes
         How long calls take.
-    pace : caperstack.admission.pace.HostPace
+    pace : caperstack.admission.slowdown.HostSlowdown
         How long work takes on the host now.
     cold : caperstack.admission.cold.ColdLimit
         How many calls may start in a second while the server is cold.
@@ -55,12 +55,12 @@
     def __init__(self, slots, share, times, pace, cold):
         self._share = share
         self._times = times
-        self._pace = pace
+        self._slowdown = pace
         self._cold = cold
         self._waking = None
         self._slots = slots
         self._knee = Knee(slots, self._used(slots))
-        self._limit = SlotLimit(self._knee.limit, times)
+        self._limit = AdaptiveLimit(self._knee.limit, times)
         self._queue = AdmissionQueue(slots * QUEUE_PER_SLOT)
         self._running = 0
 
@@ -142,15 +142,15 @@
         Waiting costs what is left of the neighbour's visit.  Work so short
         that the wait would be longer starts at once.
         """
-        if self._pace.unread:
+        if self._slowdown.unread:
             return True
-        if not self._pace.slowed:
+        if not self._slowdown.slowed:
             return False
-        return (self._pace.relative - 1) * self._takes(call) > VISIT_SECONDS
+        return (self._slowdown.relative - 1) * self._takes(call) > VISIT_SECONDS
 
     def _takes(self, call):
         """Return how long `call` takes on this host as a rule, in seconds."""
-        return self._times.takes(call) * self._pace.usual
+        return self._times.takes(call) * self._slowdown.usual
 
     async def _wait_for_slot(self, call, on_wait):
         takes = self._takes(call)
@@ -178,7 +178,7 @@
     @property
     def _turn(self):
         """How long a slot is taken by the work that usually holds it, in seconds."""
-        return self._times.held * self._pace.usual
+        return self._times.held * self._slowdown.usual
 
     def _last_start(self, call, takes):
         """Return the point until which `call` waits for a slot.
@@ -236,9 +236,9 @@
         before = self._queue.ahead_of(call, takes)
         ahead = max(0, before + 1 - free)
         # The first reading comes long before a visit would end.
-        visited = free > 0 and not self._pace.unread
+        visited = free > 0 and not self._slowdown.unread
         wait = VISIT_SECONDS if visited else 0.0
-        wait += ahead * self._times.recent * self._pace.usual / self._limit.limit
+        wait += ahead * self._times.recent * self._slowdown.usual / self._limit.limit
         return max(wait, self._cold.wait(before))
 
     def release(self):
--- a/caperstack/admission/limit.py
+++ b/caperstack/admission/limit.py
@@ -222,7 +222,7 @@
             self._slot_seconds = {r: s / 2 for r, s in self._slot_seconds.items()}
 
 
-class FailureShare:
+class CircuitBreaker:
     """The share of recent calls that failed, and a gate that closes on too many.
 
     Notes
@@ -284,7 +284,7 @@
         self._share += FAST_WEIGHT * (failed - self._share)
 
 
-class SlotLimit:
+class AdaptiveLimit:
     """The number of calls allowed at once, at most `slots`.
 
     Notes
--- a/caperstack/admission/owner.py
+++ b/caperstack/admission/owner.py
@@ -1,8 +1,8 @@
 """The owner: the exact decision beside the backend server."""
 
-from caperstack.admission.arrivals import Arrivals
+from caperstack.admission.arrivals import ArrivalChecks
 from caperstack.admission.execution import Execution
-from caperstack.admission.follower import ServerFollower
+from caperstack.admission.tracker import ServerTracker
 from caperstack.admission.memory import CallMemory
 from caperstack.calls.model import (
     NotRun,
@@ -24,7 +24,7 @@
 BODY_SECONDS = 0.5
 
 
-class Owner(ServerFollower):
+class Owner(ServerTracker):
     """Admit, queue, run or refuse calls for the one backend server beside this node.
 
     Every call to the backend server passes here, so the calls in flight, the
@@ -45,9 +45,9 @@
             client,
             self._gate,
             self._times,
-            self._pace,
-            self._failures,
-            self._standing,
+            self._slowdown,
+            self._breaker,
+            self._status,
             self._watch,
         )
         self._memory = CallMemory()
@@ -58,11 +58,11 @@
         """Find the services that this one needs."""
         await super().start(kernel)
         await self._execution.start(kernel)
-        self._arrivals = Arrivals(
-            self._standing,
-            self._failures,
+        self._arrivals = ArrivalChecks(
+            self._status,
+            self._breaker,
             self._times,
-            self._pace,
+            self._slowdown,
             kernel.find("pauses"),
             kernel.find("members"),
             self._suspects,
@@ -170,7 +170,7 @@
             running=self._gate.running,
             limit=self._gate.limit,
             waiting=self._gate.waiting,
-            pace=round(self._pace.value, 2),
+            pace=round(self._slowdown.value, 2),
             objective_ms=_objective_ms(call),
         )
 
@@ -199,7 +199,7 @@
         """
         if not self._refresh:
             return False
-        paced = not self._pace.slowed and self._pace.age > FRESH_READING_SECONDS
+        paced = not self._slowdown.slowed and self._slowdown.age > FRESH_READING_SECONDS
         return paced or self._cold.outdated
 
     def _note_start(self, call):
--- a/caperstack/admission/pace.py
+++ b/caperstack/admission/slowdown.py
@@ -26,7 +26,7 @@
 CHANGE = 1.25
 
 
-class HostPace:
+class HostSlowdown:
     """The pace of a host and what is usual for it.
 
     Notes
--- a/caperstack/admission/standing.py
+++ b/caperstack/admission/status.py
@@ -17,7 +17,7 @@
 ANSWERING_SECONDS = 2.0
 
 
-class ServerStanding:
+class ServerStatus:
     """The state of one backend server and the instance that it is.
 
     Attributes
@@ -35,7 +35,7 @@
         self._health = ServerState.WARM
         self._listed = True
         self._evacuated = False
-        self._gone = False
+        self._ended = False
         self._answering_until = 0.0
         self.instance = ""
         self.born_ms = 0
@@ -87,10 +87,10 @@
         self._health = state
         if state in (ServerState.WARM, ServerState.COLD) and not self.instance:
             # Nothing names who answers there: whoever does is the server.
-            self._gone = False
+            self._ended = False
         return self._worse()
 
-    def set_gone(self, gone):
+    def set_ended(self, gone):
         """Note whether the listed server has ended; return the state that follows.
 
         Notes
@@ -102,7 +102,7 @@
         repeats.  The port that refuses a connection, and an answer that names
         another instance, tell it at once.
         """
-        self._gone = gone
+        self._ended = gone
         return self._worse()
 
     def _worse(self):
@@ -120,4 +120,4 @@
             return ServerState.LEAVING
         if self._evacuated:
             return ServerState.EVACUATED
-        return ServerState.DOWN if self._gone else self._health
+        return ServerState.DOWN if self._ended else self._health
--- a/caperstack/admission/tests/test_cold.py
+++ b/caperstack/admission/tests/test_cold.py
@@ -36,12 +36,12 @@
         self.limit.resize(BOUND)
         self.time += SPAN_SECONDS
 
-    def start_all(self, seconds, gap, hear=lambda: None):
+    def start_all(self, seconds, gap, set_remaining=lambda: None):
         """Start whenever the limit allows for `seconds`; return the points."""
         starts = []
         until = self.time + seconds
         while self.time < until:
-            hear()
+            set_remaining()
             if not self.limit.wait():
                 self.limit.take()
                 starts.append(self.time)
@@ -55,23 +55,23 @@
             self.assertGreaterEqual(len(self.start_all(1.0, 0.01)), 100)
 
     def test_cold_server_gets_no_more_than_it_bears(self):
-        self.limit.hear(10.0)
+        self.limit.set_remaining(10.0)
         starts = self.start_all(5.0, 0.001)
         self.assertLessEqual(most_in_a_second(starts), BOUND)
         self.assertGreater(len(starts), 5 * 0.85 * BOUND)
 
     def test_server_that_turns_cold_gets_no_more_than_it_bears(self):
         """A warm server gets 40 calls a second, turns cold, and is told from before."""
-        self.limit.hear(0.0)
+        self.limit.set_remaining(0.0)
         cold_at = self.time + 2.0
-        starts = self.start_all(4.0, 0.025, lambda: self.limit.hear(max(0.0, self.time - cold_at)))
+        starts = self.start_all(4.0, 0.025, lambda: self.limit.set_remaining(max(0.0, self.time - cold_at)))
         cold = [start for start in starts if start >= cold_at]
         self.assertLessEqual(most_in_a_second(cold), BOUND)
 
     def test_server_that_turns_cold_again_gets_no_more_than_it_bears(self):
         """A server is to be warm by now and has turned cold again: it gets two shares at once."""
         end = self.time + 0.1
-        starts = self.start_all(0.1, 0.001, lambda: self.limit.hear(max(0.001, end - self.time)))
+        starts = self.start_all(0.1, 0.001, lambda: self.limit.set_remaining(max(0.001, end - self.time)))
         starts += self.start_all(0.5, 0.001)
         self.assertTrue(self.limit.outdated)
         self.assertLessEqual(most_in_a_second(starts), BOUND)
@@ -79,12 +79,12 @@
     def test_server_counts_as_cold_until_its_first_word(self):
         starts = self.start_all(3.0, 0.001)
         self.assertLessEqual(most_in_a_second(starts), BOUND)
-        self.limit.hear(0.0)
+        self.limit.set_remaining(0.0)
         self.assertFalse(self.limit.cold)
 
     def test_server_that_says_nothing_for_long_counts_as_cold(self):
         """The health path hangs while calls are answered; the server turned cold meanwhile."""
-        self.limit.hear(0.0)
+        self.limit.set_remaining(0.0)
         starts = self.start_all(3.0, 0.001)
         self.assertLessEqual(most_in_a_second(starts[-20:]), BOUND)
         self.assertTrue(self.limit.outdated)
@@ -93,7 +93,7 @@
         """A node starts anew beside a cold server that its last process has just sent to."""
         limit = ColdLimit()
         limit.resize(BOUND)
-        limit.hear(10.0)
+        limit.set_remaining(10.0)
         self.assertGreater(limit.wait(), SPAN_SECONDS - RESTART_SECONDS - 0.01)
         self.time += SPAN_SECONDS
         self.assertEqual(limit.wait(), 0.0)
@@ -103,23 +103,23 @@
         limit = ColdLimit()
         limit.resize(BOUND, 3.0)
         self.time += 0.3
-        limit.hear(2.7)
+        limit.set_remaining(2.7)
         self.assertEqual(limit.wait(), 0.0)
         older = ColdLimit()
         older.resize(BOUND, 3.0)
         self.time += 0.3
-        older.hear(2.0)
+        older.set_remaining(2.0)
         self.assertGreater(older.wait(), 0.0)
 
     def test_another_start_of_the_server_got_nothing_yet(self):
-        self.limit.hear(10.0)
+        self.limit.set_remaining(10.0)
         self.start_all(1.0, 0.001)
         self.limit.restart()
         self.assertTrue(self.limit.cold)
         self.assertEqual(self.limit.wait(), 0.0)
 
     def test_wait_is_told_for_those_behind(self):
-        self.limit.hear(10.0)
+        self.limit.set_remaining(10.0)
         for _ in range(self.limit.most):
             self.limit.take()
         self.assertAlmostEqual(self.limit.wait(), SPAN_SECONDS)
@@ -130,7 +130,7 @@
     def test_no_second_holds_more_than_the_bound(self, gaps, bound):
         limit = ColdLimit()
         limit.resize(bound)
-        limit.hear(3600.0)
+        limit.set_remaining(3600.0)
         starts = []
         for gap in gaps:
             if not limit.wait():
@@ -191,10 +191,10 @@
             cold_until = deadline_after(cold_for)
 
             async def refresh():
-                owner.hear_cold(max(0.0, time_left(cold_until)))
-                owner.set_pace(1.0)
+                owner.set_cold_remaining(max(0.0, time_left(cold_until)))
+                owner.set_slowdown(1.0)
 
-            owner.expect_pace(refresh)
+            owner.expect_slowdown(refresh)
             await refresh()
             owner.set_health(ServerState.WARM)
             self.load = owner.load
--- a/caperstack/admission/tests/test_owner.py
+++ b/caperstack/admission/tests/test_owner.py
@@ -163,12 +163,12 @@
         # An owner starts in the middle of a neighbour's visit and gets calls
         # before it has asked how long work takes.  Run at eight times its cost
         # a booking is cut off at its deadline.
-        self.owner.expect_pace()
+        self.owner.expect_slowdown()
         self.assertIsInstance(await self.begin(1), NotRun)
         waiting = self.begin_last(2)
         await self.turn()
         self.assertEqual(self.client.started, [])
-        self.owner.set_pace(1.0)
+        self.owner.set_slowdown(1.0)
         await self.turn()
         self.client.answer(2)
         self.assertEqual(await waiting, GOOD)
@@ -177,10 +177,10 @@
         # A node has just started; a caller's route is over in 150 ms.  The
         # reading takes a millisecond as a rule, and refused for the length of a
         # visit that nobody has seen the caller would get 503 from a free server.
-        self.owner.expect_pace()
+        self.owner.expect_slowdown()
         waiting = self.begin_last(1, seconds=0.15)
         await self.turn()
-        self.owner.set_pace(1.0)
+        self.owner.set_slowdown(1.0)
         await self.turn()
         self.assertEqual(self.client.started, [1])
         self.client.answer(1)
@@ -194,10 +194,10 @@
 
         async def refresh():
             asked.append(True)
-            self.owner.set_pace(4.0)
+            self.owner.set_slowdown(4.0)
 
-        self.owner.set_pace(1.0)
-        self.owner.expect_pace(refresh)
+        self.owner.set_slowdown(1.0)
+        self.owner.expect_slowdown(refresh)
         with mock.patch("caperstack.admission.owner.FRESH_READING_SECONDS", 60.0):
             running = self.begin(1)
             await self.turn()
@@ -210,10 +210,10 @@
 
     async def test_where_no_pace_is_told_calls_start_without(self):
         with (
-            mock.patch("caperstack.admission.follower.FIRST_READING_SECONDS", 0.01),
-            mock.patch("caperstack.admission.pace.FIRST_READING_SECONDS", 0.01),
+            mock.patch("caperstack.admission.tracker.FIRST_READING_SECONDS", 0.01),
+            mock.patch("caperstack.admission.slowdown.FIRST_READING_SECONDS", 0.01),
         ):
-            self.owner.expect_pace()
+            self.owner.expect_slowdown()
         waiting = self.begin_last(1)
         while not self.client.started:
             await asyncio.sleep(0.005)
@@ -454,21 +454,21 @@
         # would need four times as long to its end; it starts when the
         # neighbour has gone, and the caller has it sooner.
         await self.learn_time(0.3)
-        self.owner.set_pace(1.0)
-        self.owner.set_pace(4.0)
+        self.owner.set_slowdown(1.0)
+        self.owner.set_slowdown(4.0)
         held = self.begin_last(50)
         await self.turn()
         self.assertNotIn(50, self.client.started)
         self.assertIsInstance(await self.begin(51), NotRun)
-        self.owner.set_pace(1.0)
+        self.owner.set_slowdown(1.0)
         await self.turn()
         self.client.answer(50)
         self.assertEqual(await held, GOOD)
 
     async def test_short_work_and_a_slow_host_for_good_do_not_wait(self):
         await self.learn_time(0.01)
-        self.owner.set_pace(1.0)
-        self.owner.set_pace(4.0)
+        self.owner.set_slowdown(1.0)
+        self.owner.set_slowdown(4.0)
         short = self.begin_last(50)
         await self.turn()
         self.client.answer(50)
@@ -476,9 +476,9 @@
 
     async def test_host_that_is_slow_for_good_takes_calls(self):
         await self.learn_time(0.3)
-        self.owner.set_pace(1.0)
-        with mock.patch("caperstack.admission.pace.USUAL_SECONDS", 0.0):
-            self.owner.set_pace(4.0)
+        self.owner.set_slowdown(1.0)
+        with mock.patch("caperstack.admission.slowdown.USUAL_SECONDS", 0.0):
+            self.owner.set_slowdown(4.0)
             lasting = self.begin_last(52)
             await self.turn()
             self.client.answer(52)
@@ -626,7 +626,7 @@
         self.client.answer(1, BackendError("connection closed", step="answer"))
         await task
         self.assertEqual(self.owner.state, ServerState.DOWN)
-        self.owner.hear_instance("i-2")
+        self.owner.note_instance("i-2")
         self.owner.set_health(ServerState.WARM)
         self.assertIsInstance(await self.owner.run(self.fatal(2)), NotRun)
         self.owner.assign("i-2", "s")
@@ -634,9 +634,9 @@
 
     async def test_server_that_answers_again_under_its_name_gets_calls(self):
         self.owner.assign("i-1", "s")
-        self.owner.hear_instance("i-2")
+        self.owner.note_instance("i-2")
         self.assertEqual(self.owner.state, ServerState.DOWN)
-        self.owner.hear_instance("i-1")
+        self.owner.note_instance("i-1")
         self.assertEqual(self.owner.state, ServerState.WARM)
 
     async def test_lost_answer_of_a_server_that_lives_blames_nobody(self):
--- a/caperstack/admission/tests/test_pace.py
+++ b/caperstack/admission/tests/test_pace.py
@@ -6,16 +6,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from caperstack.admission.pace import FIRST_USUAL_MOST, USUAL_SECONDS, HostPace
+from caperstack.admission.slowdown import FIRST_USUAL_MOST, USUAL_SECONDS, HostSlowdown
 
 
-class TestHostPace(unittest.TestCase):
-    """`HostPace` with a clock that the test moves."""
+class TestHostSlowdown(unittest.TestCase):
+    """`HostSlowdown` with a clock that the test moves."""
 
     def setUp(self):
         self.clock = 100.0
-        self.enterContext(mock.patch("caperstack.admission.pace.now", lambda: self.clock))
-        self.pace = HostPace()
+        self.enterContext(mock.patch("caperstack.admission.slowdown.now", lambda: self.clock))
+        self.pace = HostSlowdown()
 
     def read(self, *paces):
         for pace in paces:
@@ -54,7 +54,7 @@
 
     @given(st.lists(st.tuples(st.floats(0.01, 0.5), st.floats(0.5, 9.0)), min_size=1))
     def test_usual_is_the_lowest_reading_of_the_span(self, readings):
-        pace = HostPace()
+        pace = HostSlowdown()
         told = []
         for gap, value in readings:
             self.clock += gap
--- a/caperstack/admission/follower.py
+++ b/caperstack/admission/tracker.py
@@ -4,16 +4,16 @@
 
 from caperstack.admission.cold import ColdLimit
 from caperstack.admission.gate import SlotGate
-from caperstack.admission.limit import FailureShare, ServiceTimes
-from caperstack.admission.pace import FIRST_READING_SECONDS, HostPace
-from caperstack.admission.standing import ServerStanding
+from caperstack.admission.limit import CircuitBreaker, ServiceTimes
+from caperstack.admission.slowdown import FIRST_READING_SECONDS, HostSlowdown
+from caperstack.admission.status import ServerStatus
 from caperstack.calls.model import Load, ServerState
 from caperstack.quarantine.crash import CrashWatch
 
 __all__ = ["ServerFollower"]
 
 
-class ServerFollower:
+class ServerTracker:
     """Follow the life of one backend server: listed, healthy, cold, started anew, ended.
 
     Parameters
@@ -28,16 +28,16 @@
     def __init__(self, settings, client):
         self._client = client
         self._times = ServiceTimes()
-        self._pace = HostPace()
+        self._slowdown = HostSlowdown()
         self._cold = ColdLimit()
         self._gate = SlotGate(
-            settings.slots, settings.slots_share, self._times, self._pace, self._cold
+            settings.slots, settings.slots_share, self._times, self._slowdown, self._cold
         )
-        self._standing = ServerStanding()
+        self._status = ServerStatus()
         self._listeners = []
-        self._failures = FailureShare()
+        self._breaker = CircuitBreaker()
         self._published = 0
-        self._watch = CrashWatch(client, self._standing)
+        self._watch = CrashWatch(client, self._status)
         self._watch.listen(self._on_end)
         self._refresh = None
         self._metrics = None
@@ -47,17 +47,17 @@
     @property
     def state(self):
         """The `ServerState` that this owner tells everyone."""
-        return self._standing.state
+        return self._status.state
 
     @property
     def answering(self):
         """Whether the backend server has answered a call lately."""
-        return self._standing.answering
+        return self._status.answering
 
     @property
     def node_leaves(self):
         """Whether the node itself stops."""
-        return self._standing.node_leaves
+        return self._status.node_leaves
 
     @property
     def idle(self):
@@ -67,7 +67,7 @@
     @property
     def instance(self):
         """The instance of the backend server that calls are meant for; empty for any."""
-        return self._standing.instance
+        return self._status.instance
 
     @property
     def load(self):
@@ -76,11 +76,11 @@
             self._gate.running,
             self._gate.waiting,
             self._gate.limit,
-            int(self._times.recent * self._pace.usual * 1e6) if self._times.known else 0,
-            self._standing.state,
-            self._failures.percent,
+            int(self._times.recent * self._slowdown.usual * 1e6) if self._times.known else 0,
+            self._status.state,
+            self._breaker.percent,
             self._published,
-            round(self._pace.relative * 100),
+            round(self._slowdown.relative * 100),
         )
 
     async def start(self, kernel):
@@ -91,26 +91,26 @@
 
     def leave(self):
         """The node itself stops: refuse new calls from now on, for good."""
-        self._standing.node_leaves = True
+        self._status.node_leaves = True
         self.set_state(ServerState.STOPPING)
 
     def set_listed(self, listed):
         """Note whether the platform lists the backend server as serving."""
-        self.set_state(self._standing.set_listed(listed))
+        self.set_state(self._status.set_listed(listed))
 
     def set_evacuated(self, evacuated):
         """Note whether operators have evacuated the zone."""
-        self.set_state(self._standing.set_evacuated(evacuated))
+        self.set_state(self._status.set_evacuated(evacuated))
 
     def set_health(self, state):
         """Note what the backend server's health path shows."""
         if state == ServerState.WARM and self._cold.cold:
             state = ServerState.COLD
-        self.set_state(self._standing.set_health(state))
+        self.set_state(self._status.set_health(state))
 
-    def hear_cold(self, seconds):
+    def set_cold_remaining(self, seconds):
         """The backend server says that it will be cold for so many seconds more; 0 if warm."""
-        self._cold.hear(seconds)
+        self._cold.set_remaining(seconds)
         self._gate.start_waiting()
 
     def set_cold_limit(self, per_second, cold_seconds=0.0):
@@ -125,12 +125,12 @@
         """
         self._cold.resize(per_second, cold_seconds)
 
-    def hear_instance(self, instance):
+    def note_instance(self, instance):
         """Note which instance has answered; another one holds the address of one that ended."""
-        if instance == self._standing.instance:
+        if instance == self._status.instance:
             self._watch.note_life()
-        if instance and self._standing.instance:
-            self.set_state(self._standing.set_gone(instance != self._standing.instance))
+        if instance and self._status.instance:
+            self.set_state(self._status.set_ended(instance != self._status.instance))
 
     def set_state(self, state):
         """Tell everyone `state` from now on; a closed one refuses new calls.
@@ -140,12 +140,12 @@
         bool
             Whether the state changed.
         """
-        old = self._standing.state
-        if not self._standing.set_state(state):
+        old = self._status.state
+        if not self._status.set_state(state):
             return False
         self._events.state("backend server", old=old, new=state)
-        if self._standing.closed:
-            self._gate.refuse_all(self._standing.closed_reason)
+        if self._status.closed:
+            self._gate.refuse_all(self._status.closed_reason)
         self.tell_listeners()
         return True
 
@@ -165,7 +165,7 @@
         refused for failures that were not this one's.  What ran there before
         ends as unknown, not as not run.
         """
-        standing = self._standing
+        standing = self._status
         if (instance, born_ms, service) == (standing.instance, standing.born_ms, standing.service):
             return
         self._events.state("instance", standing.instance, f"{instance} of {service}, {born_ms}")
@@ -176,13 +176,13 @@
         standing.instance = instance
         standing.born_ms = born_ms
         standing.service = service
-        self.set_state(standing.set_gone(False))
-        self._pace.restart()
+        self.set_state(standing.set_ended(False))
+        self._slowdown.restart()
         if not first:
             self._start_anew(moved)
 
     def _start_anew(self, moved):
-        self._failures.restart()
+        self._breaker.restart()
         self._times.restart()
         self._gate.restart()
         self._cold.restart()
@@ -203,7 +203,7 @@
             end=f"{end.number:016x}",
             at_work={work.request_id: work.fingerprint.text for work in end.works.values()},
         )
-        self.set_state(self._standing.set_gone(True))
+        self.set_state(self._status.set_ended(True))
 
     def resize(self, slots):
         """The backend server has so many slots from now on."""
@@ -213,7 +213,7 @@
         """Call ``listener()`` when the state, or the pace by enough, has changed."""
         self._listeners.append(listener)
 
-    def expect_pace(self, refresh=None):
+    def expect_slowdown(self, refresh=None):
         """Somebody has begun to ask for the host's pace; calls wait for the first reading.
 
         Parameters
@@ -225,14 +225,14 @@
         self._expect_reading()
 
     def _expect_reading(self):
-        self._pace.expect_reading()
+        self._slowdown.expect_reading()
         # Where none comes, what waited for it starts without.
         asyncio.get_running_loop().call_later(FIRST_READING_SECONDS, self._gate.start_waiting)
 
-    def set_pace(self, pace):
+    def set_slowdown(self, pace):
         """Work on the host takes `pace` times the usual at this moment."""
-        first = self._pace.unread
-        if self._pace.read(pace) or first:
+        first = self._slowdown.unread
+        if self._slowdown.read(pace) or first:
             self.tell_listeners()
             self._gate.start_waiting()
 
--- a/caperstack/backend/pace.py
+++ b/caperstack/backend/pace.py
@@ -58,7 +58,7 @@
         self._metrics = kernel.find("metrics")
         self._events = kernel.find("events")
         self._client.listen(self._take_report)
-        self._owner.expect_pace(self.refresh)
+        self._owner.expect_slowdown(self.refresh)
         self._task = asyncio.create_task(self._ask_for_ever())
 
     async def stop(self):
@@ -66,11 +66,11 @@
         self._task.cancel()
 
     def _take_report(self, report):
-        self._owner.hear_instance(report.instance)
+        self._owner.note_instance(report.instance)
         if report.slots:
             self._paced = True
             self._told_at = now()
-            self._owner.set_pace(report.pace)
+            self._owner.set_slowdown(report.pace)
 
     async def _ask_for_ever(self):
         while True:
@@ -127,7 +127,7 @@
         if self._readable and not readable:
             self._events.belief("foreign header", header="cold", value=health.unreadable)
         self._readable = readable
-        self._owner.hear_cold(health.cold_seconds)
+        self._owner.set_cold_remaining(health.cold_seconds)
 
     def _judge(self):
         if self._owner.node_leaves:
--- a/caperstack/backend/tests/test_pace.py
+++ b/caperstack/backend/tests/test_pace.py
@@ -43,11 +43,11 @@
             owner = SimpleNamespace(
                 node_leaves=False,
                 answering=True,
-                expect_pace=lambda refresh: None,
-                set_pace=lambda pace: None,
+                expect_slowdown=lambda refresh: None,
+                set_slowdown=lambda pace: None,
                 set_health=lambda state: None,
-                hear_instance=lambda instance: None,
-                hear_cold=lambda seconds: None,
+                note_instance=lambda instance: None,
+                set_cold_remaining=lambda seconds: None,
             )
             services = {
                 "owner": owner,
--- a/caperstack/play/policies.py
+++ b/caperstack/play/policies.py
@@ -43,7 +43,7 @@
 _QUEUE = "caperstack.admission.queue"
 _GATE = "caperstack.admission.gate"
 _LIMIT = "caperstack.admission.limit"
-_PACE = "caperstack.admission.pace"
+_PACE = "caperstack.admission.slowdown"
 _DISPATCH = "caperstack.routing.dispatch.Dispatcher"
 _ESTIMATES = "caperstack.routing.estimates"
 
@@ -76,7 +76,7 @@
         "load_aware",
         {"caperstack.admission.cold.ColdLimit.resize": _any_number},
     ),
-    "limit does not adapt": ("load_aware", {f"{_LIMIT}.SlotLimit.adjust": _no_step}),
+    "limit does not adapt": ("load_aware", {f"{_LIMIT}.AdaptiveLimit.adjust": _no_step}),
     "slow servers are not doubted": ("load_aware", {f"{_LIMIT}.DOUBT": 1e9}),
     "failing servers are not gated": ("load_aware", {f"{_LIMIT}.GATE_SHARE": 2.0}),
     "nobody is ejected": ("load_aware", {f"{_ESTIMATES}.EJECT_SHARE": 2.0}),
--- a/caperstack/quarantine/crash.py
+++ b/caperstack/quarantine/crash.py
@@ -81,7 +81,7 @@
     client : object
         With ``async listens(deadline)``, as
         `caperstack.backend.client.BackendClient`.
-    standing : caperstack.admission.standing.ServerStanding
+    standing : caperstack.admission.status.ServerStatus
         Which instance it is and whether it leaves.
 
     Notes
