--- a/caperstack/admission/arrivals.py
+++ b/caperstack/admission/arrivals.py
@@ -3,7 +3,7 @@
 from caperstack.calls.model import NotRun
 from caperstack.clock import now, time_left
 
-__all__ = ["Arrivals"]
+__all__ = ["ArrivalChecks"]
 
 #: Calls that are left less than this share of their route's usual time are
 #: refused: fewer than one in a hundred would end in time (work times spread by
@@ -51,10 +51,10 @@
 
     def refusal(self, call):
         """Return the `NotRun` for a call that is refused at once, or ``None``."""
-        refusal = self.barred(call) or self.too_late(call)
-        return refusal or (None if call.last else self._better_elsewhere(call.service))
+        refusal = self.blocked(call) or self.too_late(call)
+        return refusal or (None if call.last else self._redirect(call.service))
 
-    def barred(self, call):
+    def blocked(self, call):
         """Return the `NotRun` for a call that the backend server must not get, or ``None``."""
         if self._status.closed:
             return NotRun(self._status.closed_reason, 0.0)
@@ -63,13 +63,13 @@
             return NotRun("backend server is of another service", 0.0)
         return self._suspects.refusal(call)
 
-    def _better_elsewhere(self, service):
+    def _redirect(self, service):
         """Return the `NotRun` for a call that has other servers left to try, or ``None``."""
-        if not self._breaker.passes(lambda: self._others_failing(service)):
+        if not self._breaker.admits(lambda: self._others_failing(service)):
             return NotRun("backend server fails", ELSEWHERE_SECONDS)
         if self._slowdown.slowed:
             return NotRun("host is slowed at this moment", ELSEWHERE_SECONDS)
-        if self._slowdown.unread:
+        if self._slowdown.awaiting_reading:
             return NotRun("pace of the host is not known yet", ELSEWHERE_SECONDS)
         return None
 
@@ -93,7 +93,7 @@
             return NotRun("node was paused", PAUSED_SECONDS)
         if now() >= call.deadline:
             return NotRun("deadline passed before dispatch", 0.0)
-        takes = self._times.route_known(call.route) * self._slowdown.usual
-        if time_left(call.deadline) < SHORTEST_SHARE * takes:
+        service_seconds = self._times.route_seconds(call.route) * self._slowdown.baseline
+        if time_left(call.deadline) < SHORTEST_SHARE * service_seconds:
             return NotRun("too little time left to run", 0.0)
         return None
--- a/caperstack/admission/execution.py
+++ b/caperstack/admission/execution.py
@@ -91,7 +91,7 @@
         finally:
             self._watch.finish(call, left)
             ratio = self._times.end((call.origin, call.id), counts)
-            if ratio and self._gate.note_time(call, ratio):
+            if ratio and self._gate.record_time(call, ratio):
                 self._events.state("calls at once", "other", self._gate.limit)
 
     def _failure(self, call, error, end):
--- a/caperstack/admission/gate.py
+++ b/caperstack/admission/gate.py
@@ -13,22 +13,22 @@
 
 #: Callers who are told to come back do so spread over this share of the wait,
 #: or they would all return at the same moment.
-RETURN_SPREAD = 0.5
+RETRY_JITTER = 0.5
 
 #: Callers that are refused for want of a slot are told to come back after at least this
 #: share of the time in which their call can still be run.
-RETURN_SHARE = 0.4
+RETRY_DELAY_SHARE = 0.4
 
 #: Products of slots and shares such as 0.8 fall short of whole numbers by so much.
-ROUNDING = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 
 #: Calls that take at most this share of the work that holds a slot at a random
 #: moment count as short.
-SHORT_SHARE = 0.5
+SHORT_CALL_SHARE = 0.5
 
 #: A time counts as at most so many usual ones; what takes longer was met by a
 #: neighbour that came between two readings.
-RATIO_MOST = 3.0
+MAX_TIME_RATIO = 3.0
 
 #: Waiting calls per slot that bound the queue's memory; what limits its length
 #: in practice is whether a call can still finish in time.
@@ -57,9 +57,9 @@
         self._times = times
         self._slowdown = pace
         self._cold = cold
-        self._waking = None
+        self._wakeup = None
         self._slots = slots
-        self._knee = Knee(slots, self._used(slots))
+        self._knee = Knee(slots, self._initial_limit(slots))
         self._limit = AdaptiveLimit(self._knee.limit, times)
         self._queue = AdmissionQueue(slots * QUEUE_PER_SLOT)
         self._running = 0
@@ -81,9 +81,9 @@
             return max(1, min(self._running, self._limit.limit))
         return self._limit.limit
 
-    def _used(self, slots):
+    def _initial_limit(self, slots):
         # Rounded down: one call more than the share allows slows all of them.
-        return max(1, int(slots * self._share + ROUNDING))
+        return max(1, int(slots * self._share + ROUNDING_TOLERANCE))
 
     def resize(self, slots):
         """The backend server has so many slots from now on."""
@@ -94,7 +94,7 @@
 
     def restart(self):
         """Another backend server, or another start of it: nothing is learnt of it yet."""
-        self._knee = Knee(self._slots, self._used(self._slots))
+        self._knee = Knee(self._slots, self._initial_limit(self._slots))
         self._limit.resize(self._knee.limit)
 
     def start_cold(self):
@@ -124,13 +124,13 @@
     def _may_start(self, call):
         if self._running >= self._limit.limit or len(self._queue):
             return False
-        return not self._holds(call) and not self._cold.wait()
+        return not self._defers(call) and not self._cold.wait()
 
     def _take_slot(self):
         self._running += 1
-        self._cold.take()
+        self._cold.record_start()
 
-    def _holds(self, call):
+    def _defers(self, call):
         """Return whether `call` is better started once the host is quick again.
 
         Notes
@@ -142,26 +142,26 @@
         Waiting costs what is left of the neighbour's visit.  Work so short
         that the wait would be longer starts at once.
         """
-        if self._slowdown.unread:
+        if self._slowdown.awaiting_reading:
             return True
         if not self._slowdown.slowed:
             return False
-        return (self._slowdown.relative - 1) * self._takes(call) > VISIT_SECONDS
+        return (self._slowdown.relative - 1) * self._expected_seconds(call) > VISIT_SECONDS
 
-    def _takes(self, call):
+    def _expected_seconds(self, call):
         """Return how long `call` takes on this host as a rule, in seconds."""
-        return self._times.takes(call) * self._slowdown.usual
+        return self._times.service_seconds(call) * self._slowdown.baseline
 
     async def _wait_for_slot(self, call, on_wait):
-        takes = self._takes(call)
-        self._queue.short_takes = SHORT_SHARE * self._turn
-        wait = self._expected_wait(call, takes)
-        last_start = self._last_start(call, takes)
+        service_seconds = self._expected_seconds(call)
+        self._queue.short_seconds = SHORT_CALL_SHARE * self._slot_holding_seconds
+        wait = self._expected_wait(call, service_seconds)
+        last_start = self._last_start(call, service_seconds)
         if now() + wait > last_start:
-            return NotRun("no slot in time", self._return_late(call, takes, wait))
-        if self._queue.full and not self._queue.evict_for(call, takes):
+            return NotRun("no slot in time", self._retry_after(call, service_seconds, wait))
+        if self._queue.full and not self._queue.evict_for(call, service_seconds):
             return NotRun("queue is full", wait)
-        waiter = self._queue.add(call, takes)
+        waiter = self._queue.add(call, service_seconds)
         # Calls ahead of it may be held while a slot is free and it is short.
         self.start_waiting()
         on_wait(wait)
@@ -169,18 +169,18 @@
             async with asyncio.timeout_at(last_start):
                 reason = await waiter.admitted
         except TimeoutError:
-            return self._give_up(waiter, call, takes)
+            return self._time_out(waiter, call, service_seconds)
         except asyncio.CancelledError:
-            self._return_slot(waiter)
+            self._cancel_wait(waiter)
             raise
         return NotRun(reason, wait) if reason else None
 
     @property
-    def _turn(self):
+    def _slot_holding_seconds(self):
         """How long a slot is taken by the work that usually holds it, in seconds."""
-        return self._times.held * self._slowdown.usual
+        return self._times.median_slot_seconds * self._slowdown.baseline
 
-    def _last_start(self, call, takes):
+    def _last_start(self, call, service_seconds):
         """Return the point until which `call` waits for a slot.
 
         Notes
@@ -194,14 +194,16 @@
         Short calls wait for one turn more: their parent has run for longer and
         would fail with them.
         """
-        in_time_until = (call.objective_at or call.deadline) - takes
-        turn = self._turn if takes <= self._queue.short_takes else 0.0
-        return min(call.queue_until, call.deadline - takes, max(in_time_until, now()) + turn)
+        in_time_until = (call.objective_at or call.deadline) - service_seconds
+        turn = self._slot_holding_seconds if service_seconds <= self._queue.short_seconds else 0.0
+        return min(
+            call.queue_until, call.deadline - service_seconds, max(in_time_until, now()) + turn
+        )
 
-    def _return_after(self, wait):
-        return wait * random.uniform(1.0, 1.0 + RETURN_SPREAD)
+    def _with_jitter(self, wait):
+        return wait * random.uniform(1.0, 1.0 + RETRY_JITTER)
 
-    def _return_late(self, call, takes, wait):
+    def _retry_after(self, call, service_seconds, wait):
         """Return after how many seconds a call that got no slot should come back.
 
         Notes
@@ -212,15 +214,17 @@
         until they give up; later there may be room.  Short calls have a parent that
         waits for them.
         """
-        if takes > self._queue.short_takes:
-            wait = max(wait, RETURN_SHARE * (time_left(call.deadline) - takes))
-        return self._return_after(wait)
+        if service_seconds > self._queue.short_seconds:
+            wait = max(wait, RETRY_DELAY_SHARE * (time_left(call.deadline) - service_seconds))
+        return self._with_jitter(wait)
 
-    def _give_up(self, waiter, call, takes):
-        self._return_slot(waiter)
-        return NotRun("no slot in time", self._return_late(call, takes, self._times.usual))
+    def _time_out(self, waiter, call, service_seconds):
+        self._cancel_wait(waiter)
+        return NotRun(
+            "no slot in time", self._retry_after(call, service_seconds, self._times.baseline)
+        )
 
-    def _return_slot(self, waiter):
+    def _cancel_wait(self, waiter):
         # The slot may have been given in the same turn of the loop in which
         # the wait ended: it would be lost for good if nobody handed it on.
         if waiter.admitted.done() and not waiter.admitted.cancelled():
@@ -229,16 +233,16 @@
         else:
             waiter.admitted.cancel()
 
-    def _expected_wait(self, call, takes):
+    def _expected_wait(self, call, service_seconds):
         # Slots that are free stay so until a neighbour leaves, and all who come
         # meanwhile share them.
         free = self._limit.limit - self._running
-        before = self._queue.ahead_of(call, takes)
+        before = self._queue.ahead_of(call, service_seconds)
         ahead = max(0, before + 1 - free)
         # The first reading comes long before a visit would end.
-        visited = free > 0 and not self._slowdown.unread
+        visited = free > 0 and not self._slowdown.awaiting_reading
         wait = VISIT_SECONDS if visited else 0.0
-        wait += ahead * self._times.recent * self._slowdown.usual / self._limit.limit
+        wait += ahead * self._times.recent * self._slowdown.baseline / self._limit.limit
         return max(wait, self._cold.wait(before))
 
     def release(self):
@@ -254,20 +258,20 @@
             if wait > 0:
                 self._wake_after(wait)
                 return
-            call = self._queue.admit_next(self._holds)
+            call = self._queue.admit_next(self._defers)
             if call is None:
                 return
             self._take_slot()
             if len(self._queue):
                 call.started_among = self._running
-                self._knee.note_start()
+                self._knee.record_start()
 
     def _wake_after(self, seconds):
-        if self._waking is None:
-            self._waking = asyncio.get_running_loop().call_later(seconds, self._wake)
+        if self._wakeup is None:
+            self._wakeup = asyncio.get_running_loop().call_later(seconds, self._wake)
 
     def _wake(self):
-        self._waking = None
+        self._wakeup = None
         self.start_waiting()
 
     def _allowed(self):
@@ -275,7 +279,7 @@
         limit = self._limit.limit
         return limit if limit < self._knee.limit else self._knee.allowed()
 
-    def note_time(self, call, ratio):
+    def record_time(self, call, ratio):
         """Note the time of a call that ended, against its route's usual.
 
         Returns
@@ -285,6 +289,6 @@
         """
         before = self._knee.limit
         if call.started_among:
-            self._knee.note_time(call.started_among, min(ratio, RATIO_MOST))
+            self._knee.record_time(call.started_among, min(ratio, MAX_TIME_RATIO))
             self._limit.resize(self._knee.limit)
         return self._knee.limit != before
--- a/caperstack/admission/knee.py
+++ b/caperstack/admission/knee.py
@@ -8,28 +8,28 @@
 #: One start in so many, while calls wait, is made with one call fewer at once, and
 #: one with one more; a start with one more that is known to slow the server comes
 #: ever more rarely.  At 32 what is lost beyond a slope of 1.7 is 2 % of the slots.
-TRIAL_EVERY = 32
-TRIAL_EVERY_MOST = 1024
+TRIAL_INTERVAL = 32
+MAX_TRIAL_INTERVAL = 1024
 
 #: Times of calls before a comparison says anything, and by how many standard
 #: errors it must.  Times of one route spread by 0.3 to 0.5; a slope of 1.7
 #: shows after ten calls, that there is none after some seventy.
-FEWER_AFTER = 8
-MORE_AFTER = 24
-ERRORS = 3.0
+MIN_SAMPLES_BELOW = 8
+MIN_SAMPLES_ABOVE = 24
+MIN_STANDARD_ERRORS = 3.0
 
 #: What a change must bring at least, as a share of what the server gets done.
-GAIN = 0.05
+MIN_GAIN = 0.05
 
 #: The limit moves by this share of the slots, or by one.
 STEP_SHARE = 1 / 16
 
 #: Bounds of the limit, as shares of the slots.
-LEAST_SHARE = 0.4
+MIN_LIMIT_SHARE = 0.4
 
 
 @dataclass(slots=True)
-class _Times:
+class _RatioStatistics:
     """Times of calls that started with equally many at once, against their route's usual."""
 
     count: int = 0
@@ -73,19 +73,19 @@
     def __init__(self, slots, first):
         self._slots = slots
         # A share of the slots above one lets calls queue in the server itself.
-        self._most = max(slots, first)
+        self._max_limit = max(slots, first)
         self._limit = first
-        self._forget()
+        self._reset()
 
     @property
     def limit(self):
         """The calls at once at which the server gets most done, as far as is known."""
         return self._limit
 
-    def _forget(self):
+    def _reset(self):
         self._times = {}
         self._starts = 0
-        self._more_every = TRIAL_EVERY
+        self._upper_trial_interval = TRIAL_INTERVAL
 
     @property
     def _step(self):
@@ -93,40 +93,40 @@
 
     def allowed(self):
         """Return how many calls may be at work with the next start, while others wait."""
-        if self._starts % self._more_every == self._more_every - 1:
-            return min(self._most, self._limit + self._step)
-        if self._starts % TRIAL_EVERY == TRIAL_EVERY // 2:
-            return max(self._least, self._limit - self._step)
+        if self._starts % self._upper_trial_interval == self._upper_trial_interval - 1:
+            return min(self._max_limit, self._limit + self._step)
+        if self._starts % TRIAL_INTERVAL == TRIAL_INTERVAL // 2:
+            return max(self._min_limit, self._limit - self._step)
         return self._limit
 
     @property
-    def _least(self):
-        return max(1, int(self._slots * LEAST_SHARE))
+    def _min_limit(self):
+        return max(1, int(self._slots * MIN_LIMIT_SHARE))
 
-    def note_start(self):
+    def record_start(self):
         """A call that waited has started."""
         self._starts += 1
 
-    def note_time(self, at_once, ratio):
+    def record_time(self, concurrency, ratio):
         """Note a call's time against its route's usual; it started with so many at once."""
-        if abs(at_once - self._limit) not in (0, self._step):
+        if abs(concurrency - self._limit) not in (0, self._step):
             return
-        self._times.setdefault(at_once, _Times()).add(ratio)
-        if at_once != self._limit:
-            self._judge(at_once)
+        self._times.setdefault(concurrency, _RatioStatistics()).add(ratio)
+        if concurrency != self._limit:
+            self._compare(concurrency)
 
-    def _judge(self, other):
+    def _compare(self, other):
         """Move to `other` calls at once if the server gets more done with these."""
         here, there = self._times.get(self._limit), self._times[other]
-        least = MORE_AFTER if other > self._limit else FEWER_AFTER
+        least = MIN_SAMPLES_ABOVE if other > self._limit else MIN_SAMPLES_BELOW
         if here is None or min(here.count, there.count) < least:
             return
         gain = other / there.mean / (self._limit / here.mean) - 1.0
-        error = ERRORS * math.hypot(here.error, there.error)
-        if gain > max(GAIN, error):
+        error = MIN_STANDARD_ERRORS * math.hypot(here.error, there.error)
+        if gain > max(MIN_GAIN, error):
             self._limit = other
-            self._forget()
+            self._reset()
         elif other > self._limit and gain < -error:
             # Known to be worse: tried ever more rarely.
-            self._more_every = min(TRIAL_EVERY_MOST, 2 * self._more_every)
+            self._upper_trial_interval = min(MAX_TRIAL_INTERVAL, 2 * self._upper_trial_interval)
             del self._times[other]
--- a/caperstack/admission/limit.py
+++ b/caperstack/admission/limit.py
@@ -6,64 +6,64 @@
 from caperstack.calls.model import guessed_seconds
 from caperstack.clock import deadline_after, now
 
-__all__ = ["FailureShare", "ServiceTimes", "SlotLimit"]
+__all__ = ["AdaptiveLimit", "CircuitBreaker", "ServiceTimes"]
 
 #: Weight of one call in the recent service time and in the share of failures.
 FAST_WEIGHT = 0.1
 
 #: Seconds of work after which what held the slots before counts half: some 100
 #: calls of 200 ms, or 400 of 50.
-HELD_MOST = 20.0
+MAX_SLOT_SECONDS = 20.0
 
 #: The time over which the recent one fades to the usual one without calls, and
 #: the usual one to nothing, in seconds.
-FADE_SECONDS = 0.2
-FORGET_SECONDS = 10.0
+RECENT_DECAY_SECONDS = 0.2
+IDLE_DECAY_SECONDS = 10.0
 
 #: A server whose last calls took this many times longer than usual is tried
 #: with a call or two first.
-DOUBT = 2.0
-EXPLORERS = 2
+PROBE_THRESHOLD = 2.0
+PROBE_CALLS = 2
 
 #: The times over which the middle average follows, and the usual time rises.
 MEDIUM_SECONDS = 1.0
-USUAL_SECONDS = 60.0
+BASELINE_RISE_SECONDS = 60.0
 
 #: The time over which a route's usual time follows, in seconds, and how many
 #: routes are told apart; beyond that they are learnt anew.
 ROUTE_SECONDS = 5.0
-ROUTES_MOST = 500
+MAX_ROUTES = 500
 
 #: Answers after which a route's usual time is more than chance.
-ROUTE_ANSWERS = 5
+MIN_ROUTE_SAMPLES = 5
 
 #: So many calls make the first usual time.
-FIRST_CALLS = 50
+WARMUP_CALLS = 50
 
 #: A backend server is slowed once its recent time exceeds the usual one by
 #: this.  With heavy-tailed service times the mean age of twenty running calls
 #: is often twice the usual time by chance, rarely four times.
-TOLERANCE = 4.0
+SLOW_FACTOR = 4.0
 
 #: The limit never falls below this share of the slots, so that a backend
 #: server whose load is cured can show it.
-LEAST_SHARE = 0.5
+MIN_LIMIT_SHARE = 0.5
 
 #: How long the limit rests after a change, in seconds.
-REST_SECONDS = 0.1
+ADJUST_SECONDS = 0.1
 
 #: The share of failures that closes the gate, by how much more it must be than
 #: at the other servers of the service, and how often a call may probe.
-GATE_SHARE = 0.5
-GATE_MARGIN = 0.25
+OPEN_FAILURE_SHARE = 0.5
+OPEN_MARGIN = 0.25
 PROBE_SECONDS = 0.1
 
 #: How long the share of failures takes to fade in what others are told, in seconds.
-FAILURES_FADE_SECONDS = 5.0
+FAILURE_DECAY_SECONDS = 5.0
 
 #: Service time that is assumed before the first call, in seconds, and the weight
 #: of each call's own guess until the first answer.
-FIRST_GUESS = 0.02
+INITIAL_SECONDS = 0.02
 GUESS_WEIGHT = 0.2
 
 
@@ -76,13 +76,13 @@
 
     def __init__(self):
         self._fast = None
-        self._medium = TimedAverage(FIRST_GUESS, MEDIUM_SECONDS)
-        self._usual = FIRST_GUESS
-        self._guessed = False
+        self._medium = TimedAverage(INITIAL_SECONDS, MEDIUM_SECONDS)
+        self._baseline = INITIAL_SECONDS
+        self._seeded = False
         self._slot_seconds = {}
         self._started = {}
         self._routes = {}
-        self._ended_at = now()
+        self._last_end = now()
 
     @property
     def known(self):
@@ -90,14 +90,14 @@
         return self._fast is not None
 
     @property
-    def usual(self):
+    def baseline(self):
         """The lowest average of late, in seconds; it rises slowly.
 
         Notes
         -----
         An average alone would take a slowdown for usual while it lasts.
         """
-        return self._usual
+        return self._baseline
 
     @property
     def recent(self):
@@ -108,7 +108,7 @@
         A server that slows down answers late, so answers alone would show it
         late.  The age of the calls that still run shows it while they run.
         """
-        fast = self._faded()
+        fast = self._decayed_average()
         if not self._started:
             return fast
         moment = now()
@@ -117,49 +117,49 @@
         return max(fast, ages)
 
     @property
-    def settled(self):
+    def warmed_up(self):
         """Whether enough calls were answered to know what is usual."""
-        return self._medium.count > FIRST_CALLS
+        return self._medium.count > WARMUP_CALLS
 
     @property
-    def doubtful(self):
+    def needs_probing(self):
         """Whether the last calls were slow, but so long ago that it may have changed."""
-        if self._fast is None or now() - self._ended_at < FADE_SECONDS:
+        if self._fast is None or now() - self._last_end < RECENT_DECAY_SECONDS:
             return False
-        return self._fast > DOUBT * self._usual
+        return self._fast > PROBE_THRESHOLD * self._baseline
 
     def restart(self):
         """Another start of the backend server: how slow the last one was says nothing."""
-        self._fast = self._usual if self.known else None
+        self._fast = self._baseline if self.known else None
 
-    def _faded(self):
+    def _decayed_average(self):
         # Failure: a server that was slow gets no calls, so nothing shows that
         # it is quick again, and it stays idle for good.  What the last calls
         # showed fades, and a call or two try it.
         if self._fast is None:
-            return self._usual
-        idle = now() - self._ended_at
-        excess = (self._fast - self._usual) * math.exp(-idle / FADE_SECONDS)
-        return self._usual * math.exp(-idle / FORGET_SECONDS) + excess
+            return self._baseline
+        idle = now() - self._last_end
+        excess = (self._fast - self._baseline) * math.exp(-idle / RECENT_DECAY_SECONDS)
+        return self._baseline * math.exp(-idle / IDLE_DECAY_SECONDS) + excess
 
-    def expect(self, call):
+    def seed(self, call):
         """Take the guess at the work of `call` for usual until the first answer."""
         guess = guessed_seconds(call)
         if self.known or not guess:
             return
-        weight = GUESS_WEIGHT if self._guessed else 1.0
-        self._usual += weight * (guess - self._usual)
-        self._guessed = True
+        weight = GUESS_WEIGHT if self._seeded else 1.0
+        self._baseline += weight * (guess - self._baseline)
+        self._seeded = True
 
-    def takes(self, call):
+    def service_seconds(self, call):
         """Return how long `call` usually takes, in seconds."""
         average = self._routes.get(call.route)
         if average is not None:
             return average.value
-        return guessed_seconds(call) or self._usual
+        return guessed_seconds(call) or self._baseline
 
     @property
-    def held(self):
+    def median_slot_seconds(self):
         """How long work takes that holds a slot at a random moment, in seconds; 0 at first.
 
         Notes
@@ -170,16 +170,16 @@
         """
         times = sorted((self._routes[r].value, s) for r, s in self._slot_seconds.items())
         half = sum(self._slot_seconds.values()) / 2
-        for seconds, held in times:
-            half -= held
+        for seconds, median_slot_seconds in times:
+            half -= median_slot_seconds
             if half <= 0:
                 return seconds
         return 0.0
 
-    def route_known(self, route):
+    def route_seconds(self, route):
         """Return how long calls of `route` take, in seconds; 0 if few of them were answered."""
         average = self._routes.get(route)
-        return average.value if average and average.count >= ROUTE_ANSWERS else 0.0
+        return average.value if average and average.count >= MIN_ROUTE_SAMPLES else 0.0
 
     def begin(self, key, pace=1.0, route=""):
         """Note that the call of that key starts now, when work takes `pace` times the usual."""
@@ -197,28 +197,28 @@
         elapsed = (now() - start) / pace
         if not counts:
             return 0.0
-        usual = self.route_known(route)
+        baseline = self.route_seconds(route)
         self._learn_route(route, elapsed)
-        fast = elapsed if self._fast is None else self._faded()
+        fast = elapsed if self._fast is None else self._decayed_average()
         self._fast = fast + FAST_WEIGHT * (elapsed - fast)
         self._medium.add(elapsed)
-        gap = self._medium.value - self._usual
-        seconds = now() - self._ended_at
-        follows = gap < 0 or self._medium.count <= FIRST_CALLS
-        self._usual += gap if follows else gap * min(1.0, seconds / USUAL_SECONDS)
-        self._ended_at = now()
-        return elapsed / usual if usual else 0.0
+        gap = self._medium.value - self._baseline
+        seconds = now() - self._last_end
+        follows = gap < 0 or self._medium.count <= WARMUP_CALLS
+        self._baseline += gap if follows else gap * min(1.0, seconds / BASELINE_RISE_SECONDS)
+        self._last_end = now()
+        return elapsed / baseline if baseline else 0.0
 
     def _learn_route(self, route, elapsed):
         average = self._routes.get(route)
         if average is None:
-            if len(self._routes) >= ROUTES_MOST:
+            if len(self._routes) >= MAX_ROUTES:
                 self._routes.clear()
                 self._slot_seconds.clear()
             average = self._routes[route] = TimedAverage(elapsed, ROUTE_SECONDS)
         average.add(elapsed)
         self._slot_seconds[route] = self._slot_seconds.get(route, 0.0) + elapsed
-        if sum(self._slot_seconds.values()) > HELD_MOST:
+        if sum(self._slot_seconds.values()) > MAX_SLOT_SECONDS:
             self._slot_seconds = {r: s / 2 for r, s in self._slot_seconds.items()}
 
 
@@ -246,7 +246,7 @@
         self._probe_at = 0.0
 
     @property
-    def percent(self):
+    def failure_percent(self):
         """The share as whole percent, which fades to nothing without calls.
 
         Notes
@@ -254,10 +254,10 @@
         A server that is well again shows it only by calls, and gets none while
         entries are told that it fails more than others.
         """
-        faded = max(0.0, 1.0 - (now() - self._added_at) / FAILURES_FADE_SECONDS)
+        faded = max(0.0, 1.0 - (now() - self._added_at) / FAILURE_DECAY_SECONDS)
         return int(self._share * faded * 100)
 
-    def passes(self, others):
+    def admits(self, others):
         """Return whether a call that could go elsewhere may run here.
 
         Parameters
@@ -266,7 +266,7 @@
             ``others()`` tells the share of failures at the other servers of the
             service; it is asked only where this one fails.
         """
-        if self._share < GATE_SHARE or self._share < others() + GATE_MARGIN:
+        if self._share < OPEN_FAILURE_SHARE or self._share < others() + OPEN_MARGIN:
             return True
         if now() < self._probe_at:
             return False
@@ -298,33 +298,33 @@
     def __init__(self, slots, times):
         self._slots = slots
         self._times = times
-        self._least = max(1, int(slots * LEAST_SHARE))
+        self._min_limit = max(1, int(slots * MIN_LIMIT_SHARE))
         self._limit = slots
-        self._rest_until = 0.0
+        self._next_adjustment = 0.0
 
     @property
     def limit(self):
         """The calls that may run at once now."""
-        return min(EXPLORERS, self._limit) if self._times.doubtful else self._limit
+        return min(PROBE_CALLS, self._limit) if self._times.needs_probing else self._limit
 
     def resize(self, slots):
         """Allow at most `slots` calls from now on."""
         if slots != self._slots:
             self._slots = self._limit = slots
-            self._least = max(1, int(slots * LEAST_SHARE))
+            self._min_limit = max(1, int(slots * MIN_LIMIT_SHARE))
 
     def start_cold(self):
         """Begin with the least limit and climb from there."""
-        self._limit = self._least
+        self._limit = self._min_limit
 
     def adjust(self):
         """Take one step up or down if the last step is long enough ago."""
-        if now() < self._rest_until:
+        if now() < self._next_adjustment:
             return
-        self._rest_until = deadline_after(REST_SECONDS)
+        self._next_adjustment = deadline_after(ADJUST_SECONDS)
         # Failure: an owner that has just started takes its first guess for
         # usual, every call looks slow, and half the slots stay empty.
-        if self._times.settled and self._times.recent > TOLERANCE * self._times.usual:
-            self._limit = max(self._least, int(self._limit * 0.9))
+        if self._times.warmed_up and self._times.recent > SLOW_FACTOR * self._times.baseline:
+            self._limit = max(self._min_limit, int(self._limit * 0.9))
         elif self._limit < self._slots:
             self._limit += 1
--- a/caperstack/admission/memory.py
+++ b/caperstack/admission/memory.py
@@ -13,20 +13,20 @@
 #: remembered, so that a revocation that comes late is answered truthfully.  An
 #: entry asks until the deadline of its call and no longer.
 MEMORY_SECONDS = 5.0
-MEMORY_CALLS = 20_000
+MAX_RECORDS = 20_000
 
 #: How long a revocation is remembered whose call has not come, in seconds:
 #: longer than a message lies in the buffers of a connection.
 REVOKED_SECONDS = 30.0
 
 #: How far two hosts' measures of one span of time may differ, in seconds.
-MARGIN_SECONDS = 0.05
+CLOCK_MARGIN_SECONDS = 0.05
 
 #: Answers up to this size are kept for an entry that lost its connection.
-KEPT_ANSWER_BYTES = 64 * 1024
+MAX_ANSWER_BYTES = 64 * 1024
 
 #: All answers kept together, in bytes.
-KEPT_BYTES_MOST = 16 * 1024 * 1024
+MAX_KEPT_BYTES = 16 * 1024 * 1024
 
 
 @dataclass(slots=True)
@@ -90,7 +90,7 @@
         since it remembers everything.
         """
         record = self.find(origin, number)
-        if record is None and not self.reaches_back_to(sent_at):
+        if record is None and not self.covers(sent_at):
             return Unknown("the owner does not remember that far back")
         if record is None:
             record = self.revoke(origin, number)
@@ -106,44 +106,44 @@
         elif record.task is not None and not record.outcome.done():
             record.task.cancel()
 
-    def reaches_back_to(self, sent_at):
+    def covers(self, sent_at):
         """Return whether a call that was sent at `sent_at` would still be remembered."""
-        return sent_at > self._since + MARGIN_SECONDS
+        return sent_at > self._since + CLOCK_MARGIN_SECONDS
 
     def settle(self, call, record, outcome):
         """Note how `call` ended, and keep its answer if it is worth that."""
         if record.outcome.done():
             return
         record.task = None
-        if isinstance(outcome, Answered) and not self._keeps(call, record, outcome):
+        if isinstance(outcome, Answered) and not self._keep_answer(call, record, outcome):
             outcome = Unknown("ran, but its answer is no longer held")
         record.outcome.set_result(outcome)
 
     def _add(self, key, forget_at):
-        self._forget_old()
+        self._evict_expired()
         outcome = asyncio.get_running_loop().create_future()
         record = self._records[key] = Record(now(), forget_at, outcome)
         return record
 
-    def _forget_old(self):
+    def _evict_expired(self):
         moment = now()
         while self._records:
             key, record = next(iter(self._records.items()))
             if not record.outcome.done():
                 self._records.move_to_end(key)
                 return
-            if record.forget_at > moment and len(self._records) < MEMORY_CALLS:
+            if record.forget_at > moment and len(self._records) < MAX_RECORDS:
                 return
             self._since = max(self._since, record.arrived_at)
             del self._records[key]
             self._kept_bytes -= record.kept_bytes
 
-    def _keeps(self, call, record, answer):
+    def _keep_answer(self, call, record, answer):
         """Return whether `answer` is worth its memory; only bookings are asked after."""
         size = len(answer.body)
-        if call.idempotent or size > KEPT_ANSWER_BYTES:
+        if call.idempotent or size > MAX_ANSWER_BYTES:
             return False
-        if self._kept_bytes + size > KEPT_BYTES_MOST:
+        if self._kept_bytes + size > MAX_KEPT_BYTES:
             return False
         record.kept_bytes = size
         self._kept_bytes += size
--- a/caperstack/admission/owner.py
+++ b/caperstack/admission/owner.py
@@ -2,8 +2,8 @@
 
 from caperstack.admission.arrivals import ArrivalChecks
 from caperstack.admission.execution import Execution
-from caperstack.admission.tracker import ServerTracker
 from caperstack.admission.memory import CallMemory
+from caperstack.admission.tracker import ServerTracker
 from caperstack.calls.model import (
     NotRun,
     Unknown,
@@ -17,7 +17,7 @@
 #: A call starts on a reading of the pace that is at most so old, in seconds; each
 #: answer brings one.  At most 50 questions a second follow from it, of the 60
 #: that backend servers bear.
-FRESH_READING_SECONDS = 0.02
+MAX_READING_AGE_SECONDS = 0.02
 
 #: How long a call that holds a slot waits for its body, in seconds: 64 kB over a link
 #: of 1 Mbit/s.
@@ -52,7 +52,7 @@
         )
         self._memory = CallMemory()
         self._arrivals = None
-        self._suspect_at_work = False
+        self._suspect_running = False
 
     async def start(self, kernel):
         """Find the services that this one needs."""
@@ -91,16 +91,16 @@
         if self._memory.find(call.origin, call.id) is not None:
             return NotRun("revoked before it arrived", 0.0)
         record = self._memory.begin(call)
-        self._times.expect(call)
+        self._times.seed(call)
         outcome = None
         try:
             outcome = await self._admit_and_run(call, record, queued)
         except Exception as error:
             # A fault in this program must not leave a caller without an answer.
             self._events.state("fault", "none", f"{type(error).__name__}: {error}")
-            outcome = _broken_off("internal error", record)
+            outcome = _interrupted_outcome("internal error", record)
         finally:
-            self._memory.settle(call, record, outcome or _broken_off("cancelled", record))
+            self._memory.settle(call, record, outcome or _interrupted_outcome("cancelled", record))
         return outcome
 
     async def revoke(self, origin, number, sent_at):
@@ -117,22 +117,22 @@
     async def _admit_and_run(self, call, record, queued):
         refusal = await self._admit(call, queued)
         if refusal is not None:
-            self._refused(call, refusal)
+            self._record_refusal(call, refusal)
             return refusal
         try:
-            refusal = await self._bring_body(call)
-            refusal = refusal or self._arrivals.barred(call) or self._arrivals.too_late(call)
+            refusal = await self._fetch_body(call)
+            refusal = refusal or self._arrivals.blocked(call) or self._arrivals.too_late(call)
             if refusal is None and self._suspects.verdict(call.fingerprint) == Verdict.ALONE:
                 return await self._run_alone(call, record)
             if refusal is not None:
-                self._refused(call, refusal)
+                self._record_refusal(call, refusal)
                 return refusal
             record.dispatched = True
             return await self._execution.run(call)
         finally:
             self._gate.release()
 
-    async def _bring_body(self, call):
+    async def _fetch_body(self, call):
         """Get the body that the entry has kept; return the `NotRun` if it does not come."""
         if call.withheld is None:
             return None
@@ -150,18 +150,18 @@
         Failure: bystanders of two ends run beside the culprit once more; its server
         ends, and all of them have three to their name.
         """
-        if self._suspect_at_work:
-            refusal = NotRun("another suspect is at work", self._times.usual)
-            self._refused(call, refusal)
+        if self._suspect_running:
+            refusal = NotRun("another suspect is at work", self._times.baseline)
+            self._record_refusal(call, refusal)
             return refusal
-        self._suspect_at_work = True
+        self._suspect_running = True
         record.dispatched = True
         try:
             return await self._execution.run(call)
         finally:
-            self._suspect_at_work = False
+            self._suspect_running = False
 
-    def _refused(self, call, refusal):
+    def _record_refusal(self, call, refusal):
         self._metrics.refused(refusal.reason)
         self._events.refusal(
             "owner refuses",
@@ -177,18 +177,18 @@
     async def _admit(self, call, queued):
         """Take a slot and return ``None``, or return the `NotRun` that refuses."""
         refusal = self._arrivals.refusal(call)
-        if refusal is None and self._outdated:
+        if refusal is None and self._reading_due:
             await self._refresh()
             refusal = self._arrivals.refusal(call)
         if refusal is not None:
             return refusal
         refusal = await self._gate.admit(call, lambda wait: self._note_wait(call, wait, queued))
         if refusal is None and call.start_expected_at:
-            self._note_start(call)
+            self._record_wait_error(call)
         return refusal
 
     @property
-    def _outdated(self):
+    def _reading_due(self):
         """Whether to ask for the host's pace before a call starts.
 
         Notes
@@ -199,10 +199,10 @@
         """
         if not self._refresh:
             return False
-        paced = not self._slowdown.slowed and self._slowdown.age > FRESH_READING_SECONDS
-        return paced or self._cold.outdated
+        paced = not self._slowdown.slowed and self._slowdown.age > MAX_READING_AGE_SECONDS
+        return paced or self._cold.report_due
 
-    def _note_start(self, call):
+    def _record_wait_error(self, call):
         error = now() - call.start_expected_at
         self._metrics.time("wait_error_seconds", abs(error), "later" if error > 0 else "sooner")
 
@@ -225,5 +225,5 @@
     return round(time_left(call.objective_at or call.deadline) * 1000)
 
 
-def _broken_off(reason, record):
+def _interrupted_outcome(reason, record):
     return Unknown(reason) if record.dispatched else NotRun(reason, 0.0)
--- a/caperstack/admission/queue.py
+++ b/caperstack/admission/queue.py
@@ -15,22 +15,22 @@
 
     call: object
     sequence: int
-    takes: float
+    service_seconds: float
     admitted: asyncio.Future
 
     @property
-    def urgency(self):
+    def due_at(self):
         """The point until which an answer is worth most."""
         return self.call.objective_at or self.call.deadline
 
-    def rank(self, moment, short_takes):
+    def rank(self, moment, short_seconds):
         """Return what orders waiting calls at `moment`; the lowest goes first.
 
         Parameters
         ----------
         moment : float
             Now.
-        short_takes : float
+        short_seconds : float
             Calls that take at most so many seconds are never put behind others
             for being late.
 
@@ -46,8 +46,8 @@
         second, waited behind work of 550 ms and was refused, and the booking
         that had run for a second failed with it (5 of 27 in a recovery).
         """
-        late = moment + self.takes > self.urgency and self.takes > short_takes
-        return (late, -self.call.criticality, self.urgency, self.sequence)
+        late = moment + self.service_seconds > self.due_at and self.service_seconds > short_seconds
+        return (late, -self.call.criticality, self.due_at, self.sequence)
 
 
 class AdmissionQueue:
@@ -55,7 +55,7 @@
 
     Attributes
     ----------
-    short_takes : float
+    short_seconds : float
         Calls that take at most so many seconds count as short.
     """
 
@@ -63,7 +63,7 @@
         self._capacity = capacity
         self._waiters = set()
         self._sequence = itertools.count()
-        self.short_takes = 0.0
+        self.short_seconds = 0.0
 
     def __len__(self):
         return len(self._waiters)
@@ -77,21 +77,25 @@
         """Hold at most `capacity` calls from now on."""
         self._capacity = capacity
 
-    def add(self, call, takes=0.0):
-        """Return the `Waiter` of `call`, which now waits and will take `takes` seconds."""
+    def add(self, call, service_seconds=0.0):
+        """Enqueue `call`, expected to run for `service_seconds`, and return its `Waiter`."""
         future = asyncio.get_running_loop().create_future()
-        waiter = Waiter(call, next(self._sequence), takes, future)
+        waiter = Waiter(call, next(self._sequence), service_seconds, future)
         future.add_done_callback(lambda _: self._waiters.discard(waiter))
         self._waiters.add(waiter)
         return waiter
 
-    def ahead_of(self, call, takes=0.0):
+    def ahead_of(self, call, service_seconds=0.0):
         """Return how many waiting calls would go before `call`, were it to wait."""
         moment = now()
-        mine = Waiter(call, next(self._sequence), takes, None).rank(moment, self.short_takes)
-        return sum(1 for waiter in self._open() if waiter.rank(moment, self.short_takes) < mine)
+        mine = Waiter(call, next(self._sequence), service_seconds, None).rank(
+            moment, self.short_seconds
+        )
+        return sum(
+            1 for waiter in self._pending() if waiter.rank(moment, self.short_seconds) < mine
+        )
 
-    def _open(self):
+    def _pending(self):
         return [waiter for waiter in self._waiters if not waiter.admitted.done()]
 
     def admit_next(self, holds=None):
@@ -103,14 +107,14 @@
             ``holds(call)`` tells which calls are to wait on.
         """
         moment = now()
-        ready = [w for w in self._open() if holds is None or not holds(w.call)]
-        first = min(ready, key=lambda waiter: waiter.rank(moment, self.short_takes), default=None)
+        ready = [w for w in self._pending() if holds is None or not holds(w.call)]
+        first = min(ready, key=lambda waiter: waiter.rank(moment, self.short_seconds), default=None)
         if first is None:
             return None
-        self._end(first, "")
+        self._resolve(first, "")
         return first.call
 
-    def evict_for(self, call, takes=0.0):
+    def evict_for(self, call, service_seconds=0.0):
         """Refuse the last waiting call if it would go after `call`.
 
         Returns
@@ -120,19 +124,23 @@
         """
         moment = now()
         last = max(
-            self._open(), key=lambda waiter: waiter.rank(moment, self.short_takes), default=None
+            self._pending(),
+            key=lambda waiter: waiter.rank(moment, self.short_seconds),
+            default=None,
+        )
+        mine = Waiter(call, next(self._sequence), service_seconds, None).rank(
+            moment, self.short_seconds
         )
-        mine = Waiter(call, next(self._sequence), takes, None).rank(moment, self.short_takes)
-        if last is None or last.rank(moment, self.short_takes)[:2] <= mine[:2]:
+        if last is None or last.rank(moment, self.short_seconds)[:2] <= mine[:2]:
             return False
-        self._end(last, "displaced by a more urgent call")
+        self._resolve(last, "displaced by a more urgent call")
         return True
 
     def refuse_all(self, reason):
         """Refuse every waiting call."""
-        for waiter in self._open():
-            self._end(waiter, reason)
+        for waiter in self._pending():
+            self._resolve(waiter, reason)
 
-    def _end(self, waiter, reason):
+    def _resolve(self, waiter, reason):
         waiter.admitted.set_result(reason)
         self._waiters.discard(waiter)
--- a/caperstack/admission/slowdown.py
+++ b/caperstack/admission/slowdown.py
@@ -5,25 +5,25 @@
 from caperstack.calls.model import SLOWED_PACE
 from caperstack.clock import now
 
-__all__ = ["FIRST_READING_SECONDS", "HostPace"]
+__all__ = ["FIRST_READING_SECONDS", "HostSlowdown"]
 
 #: The lowest pace of so many seconds is the host's usual one.  A neighbour's
 #: visit lasts 300 ms (the figure that operators give), and one in four is
 #: followed by another: one in 250 lasts longer than this.  What lasts longer, a
 #: cold start or a slow host, is usual.
-USUAL_SECONDS = 1.2
+BASELINE_SECONDS = 1.2
 
 #: Before a host was watched for that long, at most this pace counts as usual: a
 #: server that has just started is twice as slow, and a neighbour makes it four
 #: times slower still.
-FIRST_USUAL_MOST = 2.0
+MAX_INITIAL_BASELINE = 2.0
 
 #: For so long after it began to ask an owner waits for the first reading, in seconds;
 #: one takes 1 ms where the backend server lives.
 FIRST_READING_SECONDS = 0.25
 
 #: How far the pace must move before it is news, as a factor.
-CHANGE = 1.25
+REPORTED_CHANGE = 1.25
 
 
 class HostSlowdown:
@@ -43,14 +43,14 @@
 
     def __init__(self):
         # Of the readings lately only those that no later one is below.
-        self._lowest = deque()
+        self._minima = deque()
         self._read_at = 0.0
         self._watched_since = now()
-        self._unread_until = 0.0
+        self._await_until = 0.0
         self.value = 1.0
 
     @property
-    def unread(self):
+    def awaiting_reading(self):
         """Whether the owner has just begun to ask and the first reading is still to come.
 
         Notes
@@ -58,20 +58,20 @@
         Failure: an owner starts, calls come at once, and its server's host is
         being visited: a booking ran for 2.5 s and was cut off at its deadline.
         """
-        return not self._lowest and now() < self._unread_until
+        return not self._minima and now() < self._await_until
 
     @property
-    def usual(self):
+    def baseline(self):
         """The lowest pace lately."""
-        self._forget()
-        lowest = self._lowest[0][1] if self._lowest else 1.0
-        watched = now() - self._watched_since >= USUAL_SECONDS
-        return lowest if watched else min(lowest, FIRST_USUAL_MOST)
+        self._drop_old()
+        lowest = self._minima[0][1] if self._minima else 1.0
+        watched = now() - self._watched_since >= BASELINE_SECONDS
+        return lowest if watched else min(lowest, MAX_INITIAL_BASELINE)
 
     @property
     def relative(self):
         """The pace against the usual one."""
-        return self.value / self.usual
+        return self.value / self.baseline
 
     @property
     def slowed(self):
@@ -81,30 +81,30 @@
     @property
     def age(self):
         """How old the last reading is, in seconds; 0 where none ever came."""
-        return now() - self._read_at if self._lowest else 0.0
+        return now() - self._read_at if self._minima else 0.0
 
     def expect_reading(self):
         """Somebody has begun to ask for the pace."""
-        self._unread_until = now() + FIRST_READING_SECONDS
+        self._await_until = now() + FIRST_READING_SECONDS
 
-    def read(self, pace):
+    def record_reading(self, pace):
         """Take a reading; return whether the pace has moved by enough to tell others."""
-        changed = not 1 / CHANGE < pace / self.value < CHANGE
+        changed = not 1 / REPORTED_CHANGE < pace / self.value < REPORTED_CHANGE
         self.value = pace
         self._read_at = now()
-        if not self._lowest:
+        if not self._minima:
             self._watched_since = self._read_at
-        while self._lowest and self._lowest[-1][1] >= pace:
-            self._lowest.pop()
-        self._lowest.append((self._read_at, pace))
+        while self._minima and self._minima[-1][1] >= pace:
+            self._minima.pop()
+        self._minima.append((self._read_at, pace))
         return changed
 
     def restart(self):
         """Another instance of the backend server has begun: forget the old one's pace."""
-        self._lowest.clear()
+        self._minima.clear()
 
-    def _forget(self):
+    def _drop_old(self):
         # The last reading stays, however old: nothing later is known.
-        limit = now() - USUAL_SECONDS
-        while len(self._lowest) > 1 and self._lowest[0][0] < limit:
-            self._lowest.popleft()
+        limit = now() - BASELINE_SECONDS
+        while len(self._minima) > 1 and self._minima[0][0] < limit:
+            self._minima.popleft()
--- a/caperstack/admission/status.py
+++ b/caperstack/admission/status.py
@@ -3,7 +3,7 @@
 from caperstack.calls.model import ServerState
 from caperstack.clock import deadline_after, now
 
-__all__ = ["ServerStanding"]
+__all__ = ["ServerStatus"]
 
 #: What calls are told in states in which there are no new ones.
 CLOSED_REASONS = {
@@ -75,12 +75,12 @@
     def set_listed(self, listed):
         """Note whether the platform lists the server as serving; return the state that follows."""
         self._listed = listed
-        return self._worse()
+        return self._effective_state()
 
     def set_evacuated(self, evacuated):
         """Note whether operators have evacuated the zone; return the state that follows."""
         self._evacuated = evacuated
-        return self._worse()
+        return self._effective_state()
 
     def set_health(self, state):
         """Note what the health path shows; return the state that follows."""
@@ -88,7 +88,7 @@
         if state in (ServerState.WARM, ServerState.COLD) and not self.instance:
             # Nothing names who answers there: whoever does is the server.
             self._ended = False
-        return self._worse()
+        return self._effective_state()
 
     def set_ended(self, gone):
         """Note whether the listed server has ended; return the state that follows.
@@ -103,9 +103,9 @@
         another instance, tell it at once.
         """
         self._ended = gone
-        return self._worse()
+        return self._effective_state()
 
-    def _worse(self):
+    def _effective_state(self):
         """Return the worse of what is listed and what health shows.
 
         Notes
--- a/caperstack/admission/tests/test_cold.py
+++ b/caperstack/admission/tests/test_cold.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from caperstack import clock
-from caperstack.admission.cold import RESTART_SECONDS, SPAN_SECONDS, ColdLimit
+from caperstack.admission.cold import RESTART_SECONDS, WINDOW_SECONDS, ColdLimit
 from caperstack.admission.owner import Owner
 from caperstack.calls.model import Answered, Call, NotRun, ServerState
 from caperstack.clock import deadline_after, now, time_left
@@ -34,7 +34,7 @@
         self.enterContext(clock.use_source(lambda: self.time))
         self.limit = ColdLimit()
         self.limit.resize(BOUND)
-        self.time += SPAN_SECONDS
+        self.time += WINDOW_SECONDS
 
     def start_all(self, seconds, gap, set_remaining=lambda: None):
         """Start whenever the limit allows for `seconds`; return the points."""
@@ -43,7 +43,7 @@
         while self.time < until:
             set_remaining()
             if not self.limit.wait():
-                self.limit.take()
+                self.limit.record_start()
                 starts.append(self.time)
             self.time += gap
         return starts
@@ -64,16 +64,20 @@
         """A warm server gets 40 calls a second, turns cold, and is told from before."""
         self.limit.set_remaining(0.0)
         cold_at = self.time + 2.0
-        starts = self.start_all(4.0, 0.025, lambda: self.limit.set_remaining(max(0.0, self.time - cold_at)))
+        starts = self.start_all(
+            4.0, 0.025, lambda: self.limit.set_remaining(max(0.0, self.time - cold_at))
+        )
         cold = [start for start in starts if start >= cold_at]
         self.assertLessEqual(most_in_a_second(cold), BOUND)
 
     def test_server_that_turns_cold_again_gets_no_more_than_it_bears(self):
         """A server is to be warm by now and has turned cold again: it gets two shares at once."""
         end = self.time + 0.1
-        starts = self.start_all(0.1, 0.001, lambda: self.limit.set_remaining(max(0.001, end - self.time)))
+        starts = self.start_all(
+            0.1, 0.001, lambda: self.limit.set_remaining(max(0.001, end - self.time))
+        )
         starts += self.start_all(0.5, 0.001)
-        self.assertTrue(self.limit.outdated)
+        self.assertTrue(self.limit.report_due)
         self.assertLessEqual(most_in_a_second(starts), BOUND)
 
     def test_server_counts_as_cold_until_its_first_word(self):
@@ -87,15 +91,15 @@
         self.limit.set_remaining(0.0)
         starts = self.start_all(3.0, 0.001)
         self.assertLessEqual(most_in_a_second(starts[-20:]), BOUND)
-        self.assertTrue(self.limit.outdated)
+        self.assertTrue(self.limit.report_due)
 
     def test_what_was_sent_before_this_process_began_counts(self):
         """A node starts anew beside a cold server that its last process has just sent to."""
         limit = ColdLimit()
         limit.resize(BOUND)
         limit.set_remaining(10.0)
-        self.assertGreater(limit.wait(), SPAN_SECONDS - RESTART_SECONDS - 0.01)
-        self.time += SPAN_SECONDS
+        self.assertGreater(limit.wait(), WINDOW_SECONDS - RESTART_SECONDS - 0.01)
+        self.time += WINDOW_SECONDS
         self.assertEqual(limit.wait(), 0.0)
 
     def test_server_that_turned_cold_after_this_process_began_got_nothing_unknown(self):
@@ -120,10 +124,10 @@
 
     def test_wait_is_told_for_those_behind(self):
         self.limit.set_remaining(10.0)
-        for _ in range(self.limit.most):
-            self.limit.take()
-        self.assertAlmostEqual(self.limit.wait(), SPAN_SECONDS)
-        self.assertAlmostEqual(self.limit.wait(self.limit.most), 2 * SPAN_SECONDS)
+        for _ in range(self.limit.max_starts):
+            self.limit.record_start()
+        self.assertAlmostEqual(self.limit.wait(), WINDOW_SECONDS)
+        self.assertAlmostEqual(self.limit.wait(self.limit.max_starts), 2 * WINDOW_SECONDS)
 
     @settings(max_examples=50, deadline=None)
     @given(st.lists(st.floats(0.0001, 0.3), min_size=20, max_size=200), st.floats(1.0, 60.0))
@@ -134,7 +138,7 @@
         starts = []
         for gap in gaps:
             if not limit.wait():
-                limit.take()
+                limit.record_start()
                 starts.append(self.time)
             self.time += gap
         self.assertLessEqual(most_in_a_second(starts), max(1.0, bound))
@@ -187,7 +191,7 @@
             }
             await owner.start(SimpleNamespace(find=services.__getitem__))
             owner.set_cold_limit(BOUND)
-            await asyncio.sleep(SPAN_SECONDS)
+            await asyncio.sleep(WINDOW_SECONDS)
             cold_until = deadline_after(cold_for)
 
             async def refresh():
--- a/caperstack/admission/tests/test_knee.py
+++ b/caperstack/admission/tests/test_knee.py
@@ -15,25 +15,25 @@
         self.slots = slots
         self._free = share * slots
         self._rng = random.Random(seed)
-        self._usual = 1.0
+        self._baseline = 1.0
 
-    def slowdown(self, at_once):
-        return SLOPE if at_once > self._free else 1.0
+    def slowdown(self, concurrency):
+        return SLOPE if concurrency > self._free else 1.0
 
-    def done(self, at_once):
+    def done(self, concurrency):
         """Return what the server gets done with so many at once."""
-        return at_once / self.slowdown(at_once)
+        return concurrency / self.slowdown(concurrency)
 
     def run(self, knee, starts, drift=None):
         """Start calls as `knee` allows; `drift(n)` slows the n-th start whatever its number."""
         for number in range(starts):
-            at_once = knee.allowed()
-            knee.note_start()
+            concurrency = knee.allowed()
+            knee.record_start()
             slow = drift(number) if drift else 1.0
-            time = slow * self.slowdown(at_once) * self._rng.lognormvariate(-0.045, 0.3)
-            knee.note_time(at_once, time / self._usual)
+            time = slow * self.slowdown(concurrency) * self._rng.lognormvariate(-0.045, 0.3)
+            knee.record_time(concurrency, time / self._baseline)
             # The usual time of the route follows what is measured.
-            self._usual += 0.01 * (time - self._usual)
+            self._baseline += 0.01 * (time - self._baseline)
 
 
 class TestKnee(unittest.TestCase):
--- a/caperstack/admission/tests/test_limit.py
+++ b/caperstack/admission/tests/test_limit.py
@@ -28,19 +28,19 @@
         self.times.end("key")
 
     def test_objective_stands_in_until_the_first_answer(self):
-        self.times.expect(self.call(0.6))
+        self.times.seed(self.call(0.6))
         self.assertFalse(self.times.known)
         self.assertAlmostEqual(self.times.recent, 0.222)
-        self.assertAlmostEqual(self.times.takes(self.call(1.5, "report")), 0.555)
+        self.assertAlmostEqual(self.times.service_seconds(self.call(1.5, "report")), 0.555)
         self.answer(0.3)
         self.assertTrue(self.times.known)
-        self.assertAlmostEqual(self.times.takes(self.call(0.6)), 0.3)
+        self.assertAlmostEqual(self.times.service_seconds(self.call(0.6)), 0.3)
         self.assertAlmostEqual(self.times.recent, 0.3)
 
     def test_answers_are_not_overruled_by_guesses(self):
         self.answer(0.05)
-        self.times.expect(self.call(1.5))
-        self.assertAlmostEqual(self.times.usual, 0.05)
+        self.times.seed(self.call(1.5))
+        self.assertAlmostEqual(self.times.baseline, 0.05)
 
     def test_few_long_calls_do_not_make_the_usual_ones_short(self):
         # Listings of 220 ms fill the slots of a server, and one call in twenty
@@ -48,21 +48,21 @@
         # by arrival under overload, and each would be late.
         for number in range(400):
             self.answer(2.0 if number % 20 == 0 else 0.22)
-        self.assertGreater(0.22, 0.28 * self.times.held)
+        self.assertGreater(0.22, 0.28 * self.times.median_slot_seconds)
 
     def test_short_calls_are_short_though_they_are_most(self):
         for number in range(400):
             self.answer(0.29 if number % 8 < 3 else 0.055, "book" if number % 8 < 3 else "check")
-        self.assertLess(0.055, 0.28 * self.times.held)
+        self.assertLess(0.055, 0.28 * self.times.median_slot_seconds)
 
     def test_deadline_alone_tells_nothing(self):
         call = self.call(5.0)
-        self.times.expect(call)
-        self.assertAlmostEqual(self.times.takes(call), 0.02)
+        self.times.seed(call)
+        self.assertAlmostEqual(self.times.service_seconds(call), 0.02)
 
     def test_caller_whose_objective_is_over_tells_nothing(self):
         self.answer(0.05, "check")
-        self.assertAlmostEqual(self.times.takes(self.call(-1.0)), 0.05)
+        self.assertAlmostEqual(self.times.service_seconds(self.call(-1.0)), 0.05)
 
 
 if __name__ == "__main__":
--- a/caperstack/admission/tests/test_owner.py
+++ b/caperstack/admission/tests/test_owner.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from caperstack.admission.gate import RETURN_SHARE
+from caperstack.admission.gate import RETRY_DELAY_SHARE
 from caperstack.admission.owner import Owner
 from caperstack.calls.fingerprint import Fingerprint
 from caperstack.calls.model import Answered, Call, NotRun, ServerState, Unknown
@@ -198,11 +198,11 @@
 
         self.owner.set_slowdown(1.0)
         self.owner.expect_slowdown(refresh)
-        with mock.patch("caperstack.admission.owner.FRESH_READING_SECONDS", 60.0):
+        with mock.patch("caperstack.admission.owner.MAX_READING_AGE_SECONDS", 60.0):
             running = self.begin(1)
             await self.turn()
         self.assertEqual((asked, self.client.started), ([], [1]))
-        with mock.patch("caperstack.admission.owner.FRESH_READING_SECONDS", 0.0):
+        with mock.patch("caperstack.admission.owner.MAX_READING_AGE_SECONDS", 0.0):
             self.assertIsInstance(await self.begin(2), NotRun)
         self.assertEqual((asked, self.client.started), ([True], [1]))
         self.client.answer(1)
@@ -340,7 +340,7 @@
     async def test_owner_does_not_speak_for_what_it_forgot(self):
         # A booking ran, its answer was lost, and the record was dropped to
         # make room before the entry could ask.
-        with mock.patch("caperstack.admission.memory.MEMORY_CALLS", 3):
+        with mock.patch("caperstack.admission.memory.MAX_RECORDS", 3):
             sent = deadline_after(0.06)
             await asyncio.sleep(0.1)
             for number in range(1, 8):
@@ -477,7 +477,7 @@
     async def test_host_that_is_slow_for_good_takes_calls(self):
         await self.learn_time(0.3)
         self.owner.set_slowdown(1.0)
-        with mock.patch("caperstack.admission.slowdown.USUAL_SECONDS", 0.0):
+        with mock.patch("caperstack.admission.slowdown.BASELINE_SECONDS", 0.0):
             self.owner.set_slowdown(4.0)
             lasting = self.begin_last(52)
             await self.turn()
@@ -526,7 +526,7 @@
         await self.turn()
         refused = await self.waiting_call(3, 0.0)
         self.assertEqual(refused.reason, "no slot in time")
-        self.assertGreater(refused.retry_after, RETURN_SHARE * 4.9)
+        self.assertGreater(refused.retry_after, RETRY_DELAY_SHARE * 4.9)
         self.assertLess(refused.retry_after, 5.0)
         for task in tasks:
             task.cancel()
--- a/caperstack/admission/tests/test_queue.py
+++ b/caperstack/admission/tests/test_queue.py
@@ -24,7 +24,7 @@
     async def test_order(self):
         # In time before late, then critical, then urgent.
         for number, objective, criticality in ((1, 0.1, 2), (2, 0.9, 1), (3, 0.6, 1), (4, 0.9, 2)):
-            self.queue.add(self.call(number, objective, criticality), takes=0.2)
+            self.queue.add(self.call(number, objective, criticality), service_seconds=0.2)
         started = [self.queue.admit_next().id for _ in range(4)]
         self.assertEqual(started, [4, 3, 2, 1])
 
@@ -32,10 +32,10 @@
         # A booking runs elsewhere and waits for a check of 55 ms that is late
         # already; behind work of 550 ms it would be refused, and the booking
         # would fail with it.
-        self.queue.short_takes = 0.13
-        self.queue.add(self.call(1, 1.5), takes=0.55)
-        self.queue.add(self.call(2, 0.04), takes=0.055)
-        self.assertEqual(self.queue.ahead_of(self.call(3, 0.05), takes=0.055), 1)
+        self.queue.short_seconds = 0.13
+        self.queue.add(self.call(1, 1.5), service_seconds=0.55)
+        self.queue.add(self.call(2, 0.04), service_seconds=0.055)
+        self.assertEqual(self.queue.ahead_of(self.call(3, 0.05), service_seconds=0.055), 1)
         self.assertEqual(self.queue.admit_next().id, 2)
 
     async def test_held_calls_let_others_pass(self):
--- a/caperstack/admission/tests/test_pace.py
+++ b/caperstack/admission/tests/test_slowdown.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from caperstack.admission.slowdown import FIRST_USUAL_MOST, USUAL_SECONDS, HostSlowdown
+from caperstack.admission.slowdown import BASELINE_SECONDS, MAX_INITIAL_BASELINE, HostSlowdown
 
 
 class TestHostSlowdown(unittest.TestCase):
@@ -17,39 +17,39 @@
         self.enterContext(mock.patch("caperstack.admission.slowdown.now", lambda: self.clock))
         self.pace = HostSlowdown()
 
-    def read(self, *paces):
+    def record_reading(self, *paces):
         for pace in paces:
             self.clock += 0.08
-            self.changed = self.pace.read(pace)
+            self.changed = self.pace.record_reading(pace)
 
     def test_visit_of_a_neighbour_is_told_from_a_cold_start(self):
         # A server starts and is twice as slow for seconds; a neighbour makes
         # that eight times.  Only the neighbour's visit is worth waiting for.
-        self.read(*[2.0] * 10, 8.0)
+        self.record_reading(*[2.0] * 10, 8.0)
         self.assertTrue(self.pace.slowed)
-        self.read(2.0)
+        self.record_reading(2.0)
         self.assertFalse(self.pace.slowed)
-        self.assertEqual(self.pace.usual, 2.0)
+        self.assertEqual(self.pace.baseline, 2.0)
 
     def test_first_reading_in_a_visit_is_no_measure(self):
         # All nodes start together, one in four hosts is being visited at that
         # moment, and its server is cold.  Taken for usual, eight times the
         # cost fills the slots with calls that run into their deadlines.
-        self.read(8.0)
+        self.record_reading(8.0)
         self.assertTrue(self.pace.slowed)
-        self.read(2.0)
+        self.record_reading(2.0)
         self.assertFalse(self.pace.slowed)
 
     def test_first_reading_of_a_warm_host_in_a_visit(self):
-        self.read(4.0)
+        self.record_reading(4.0)
         self.assertTrue(self.pace.slowed)
-        self.read(*[4.0] * 16)
+        self.record_reading(*[4.0] * 16)
         self.assertFalse(self.pace.slowed)
 
     def test_what_lasts_becomes_usual(self):
-        self.read(1.0, *[4.0] * 5)
+        self.record_reading(1.0, *[4.0] * 5)
         self.assertTrue(self.pace.slowed)
-        self.read(*[4.0] * 15)
+        self.record_reading(*[4.0] * 15)
         self.assertFalse(self.pace.slowed)
 
     @given(st.lists(st.tuples(st.floats(0.01, 0.5), st.floats(0.5, 9.0)), min_size=1))
@@ -58,20 +58,20 @@
         told = []
         for gap, value in readings:
             self.clock += gap
-            pace.read(value)
+            pace.record_reading(value)
             told.append((self.clock, value))
-        lowest = min(v for at, v in told if at >= self.clock - USUAL_SECONDS or at == self.clock)
-        watched = self.clock - told[0][0] >= USUAL_SECONDS
-        self.assertEqual(pace.usual, lowest if watched else min(lowest, FIRST_USUAL_MOST))
+        lowest = min(v for at, v in told if at >= self.clock - BASELINE_SECONDS or at == self.clock)
+        watched = self.clock - told[0][0] >= BASELINE_SECONDS
+        self.assertEqual(pace.baseline, lowest if watched else min(lowest, MAX_INITIAL_BASELINE))
 
     def test_only_changes_are_news(self):
-        self.read(1.0, 1.1)
+        self.record_reading(1.0, 1.1)
         self.assertFalse(self.changed)
-        self.read(4.0)
+        self.record_reading(4.0)
         self.assertTrue(self.changed)
 
     def test_new_instance_starts_anew(self):
-        self.read(1.0, 1.0)
+        self.record_reading(1.0, 1.0)
         self.pace.restart()
-        self.read(2.0)
-        self.assertEqual(self.pace.usual, 2.0)
+        self.record_reading(2.0)
+        self.assertEqual(self.pace.baseline, 2.0)
--- a/caperstack/admission/tracker.py
+++ b/caperstack/admission/tracker.py
@@ -10,7 +10,7 @@
 from caperstack.calls.model import Load, ServerState
 from caperstack.quarantine.crash import CrashWatch
 
-__all__ = ["ServerFollower"]
+__all__ = ["ServerTracker"]
 
 
 class ServerTracker:
@@ -76,9 +76,9 @@
             self._gate.running,
             self._gate.waiting,
             self._gate.limit,
-            int(self._times.recent * self._slowdown.usual * 1e6) if self._times.known else 0,
+            int(self._times.recent * self._slowdown.baseline * 1e6) if self._times.known else 0,
             self._status.state,
-            self._breaker.percent,
+            self._breaker.failure_percent,
             self._published,
             round(self._slowdown.relative * 100),
         )
@@ -146,10 +146,10 @@
         self._events.state("backend server", old=old, new=state)
         if self._status.closed:
             self._gate.refuse_all(self._status.closed_reason)
-        self.tell_listeners()
+        self.notify_listeners()
         return True
 
-    def tell_listeners(self):
+    def notify_listeners(self):
         """Tell peers the load now."""
         for listener in self._listeners:
             listener()
@@ -179,9 +179,9 @@
         self.set_state(standing.set_ended(False))
         self._slowdown.restart()
         if not first:
-            self._start_anew(moved)
+            self._reset_for_restart(moved)
 
-    def _start_anew(self, moved):
+    def _reset_for_restart(self, moved):
         self._breaker.restart()
         self._times.restart()
         self._gate.restart()
@@ -231,9 +231,9 @@
 
     def set_slowdown(self, pace):
         """Work on the host takes `pace` times the usual at this moment."""
-        first = self._slowdown.unread
-        if self._slowdown.read(pace) or first:
-            self.tell_listeners()
+        first = self._slowdown.awaiting_reading
+        if self._slowdown.record_reading(pace) or first:
+            self.notify_listeners()
             self._gate.start_waiting()
 
     def set_published(self, in_flight):
--- a/caperstack/play/hosts.py
+++ b/caperstack/play/hosts.py
@@ -173,7 +173,7 @@
         # Stands in for the pushes of a changed crowding.
         while True:
             await asyncio.sleep(TELL_SECONDS)
-            self.owner.tell_listeners()
+            self.owner.notify_listeners()
 
     async def dispatch(self, kind, name, deadline, objective_at):
         """Return the outcome of one request that begins here."""
