--- a/caperstack/admission/cold.py
+++ b/caperstack/admission/cold.py
@@ -1,4 +1,4 @@
-"""How many calls a second a cold backend server gets."""
+"""Rate limit for calls to a cold backend server."""
 
 from collections import deque
 
@@ -6,39 +6,39 @@
 
 __all__ = ["ColdLimit"]
 
-#: The span in which starts are counted, in seconds; a little more than a second,
-#: since calls that are sent a second apart may arrive closer together.
+#: Window in which starts are counted, in seconds; a little more than one second, since
+#: calls that are sent a second apart may arrive closer together.
 WINDOW_SECONDS = 1.05
 
-#: A process's predecessor ended at least so long before its own first statement, in
-#: seconds: the start of the interpreter.
+#: Least time between the end of the previous process and the first statement of this one, in
+#: seconds: the interpreter takes that long to start.
 RESTART_SECONDS = 0.1
 
-#: Starts that are kept back of those that a cold server bears in a second.
+#: Starts subtracted from the number that a cold server sustains in a second.
 RESERVED_STARTS = 1
 
 
 class ColdLimit:
-    """The starts of the last second, of which a cold backend server bears only so many.
-
-    Notes
-    -----
-    A backend server that has just started, or says so at any later moment, ends if
-    it gets many more calls a second than it bears.  Starts are counted all the time,
-    so that the limit holds from the moment at which the server turns cold.
-
-    A server counts as cold until it says that it is warm, also when the time is over
-    for which it was to be cold: it may have turned cold again.  After as many starts
-    without a word as a cold one bears in a second it counts as cold, too.  What another
-    process may have sent before this one began counts as a full second's starts, unless
-    the server turned cold only after that.
+    """Sliding-window rate limit on the starts of calls at a cold backend server.
 
     Attributes
     ----------
     max_starts : int
-        Starts in a second that a cold server bears; 0 if there is no bound.
+        Starts per window allowed while the server is cold; 0 if there is no bound.
     cold_seconds : float
-        For how long a server is cold that has just started; 0 if nobody says.
+        Time for which a server is cold after its start, in seconds; 0 if unknown.
+
+    Notes
+    -----
+    A backend server that is cold, since it has just started or reports it at any later
+    time, crashes if it gets many more calls per second than it sustains.  Starts are
+    always counted, so that the limit holds from the moment at which the server turns cold.
+
+    A server counts as cold until it reports that it is warm, even after the announced cold
+    time has passed, since it may have turned cold again.  A warm server counts as cold
+    again after `max_starts` starts without a report.  Calls that a previous process may have
+    sent before this one began count as a full window of starts, unless the server turned
+    cold only after that.
     """
 
     def __init__(self):
@@ -53,14 +53,17 @@
 
     @property
     def cold(self):
-        """Whether the limit is in force."""
+        """Whether the limit applies."""
         return self.max_starts > 0 and (not self._warm or self._unreported >= self.max_starts)
 
     @property
     def report_due(self):
-        """Whether the server should be asked before the next start.
+        """Whether to ask the server for a report before the next start.
 
-        It may be warm by now, or has got half of what a cold one bears without a word.
+        Notes
+        -----
+        That is so once a cold server may be warm, and once a warm one has got half
+        of `max_starts` calls without a report.
         """
         if not self.max_starts:
             return False
@@ -71,12 +74,12 @@
         )
 
     def resize(self, per_second, cold_seconds=0.0):
-        """Bound the starts of a second at a cold server, 0 for any number."""
+        """Set the starts per second that a cold server sustains (0 for no bound)."""
         self.max_starts = max(1, int(per_second) - RESERVED_STARTS) if per_second > 0 else 0
         self.cold_seconds = cold_seconds
 
     def restart(self):
-        """Another start of the backend server: it got nothing yet, and said nothing."""
+        """Forget all starts and reports, since the backend server has restarted."""
         self._starts.clear()
         self._unreported = 0
         self._warm = False
@@ -84,7 +87,7 @@
         self._unknown_until = 0.0
 
     def set_remaining(self, seconds):
-        """The server says that it will be cold for so many seconds more; 0 if it is warm."""
+        """Record a report of the server: it stays cold for `seconds` more, or is warm if 0."""
         self._warm = seconds <= 0
         self._unreported = 0
         self._report_due_at = deadline_after(seconds)
@@ -93,15 +96,15 @@
             self._unknown_until = 0.0
 
     def record_start(self):
-        """Count a start."""
+        """Record the start of a call."""
         self._unreported += 1
         self._starts.append(now())
-        # Starts before the last `max_starts` bound no later one.
+        # Only the last `max_starts` starts can bound a later one.
         while len(self._starts) > max(1, self.max_starts):
             self._starts.popleft()
 
     def wait(self, ahead=0):
-        """Return how many seconds it takes until a call may start, with so many before it."""
+        """Return the seconds until a call may start after `ahead` other calls."""
         if not self.cold:
             return 0.0
         moment = now()
@@ -114,7 +117,7 @@
         return start - moment
 
     def _counted(self, moment):
-        """Return the points at which the calls that count now started, the oldest first."""
+        """Return the times of the starts in the current window, the oldest first."""
         recent = [start for start in self._starts if start > moment - WINDOW_SECONDS]
         if moment < self._unknown_until:
             before = self._unknown_until - WINDOW_SECONDS
--- a/caperstack/admission/gate.py
+++ b/caperstack/admission/gate.py
@@ -1,4 +1,4 @@
-"""The slots of one backend server: who gets one now, who waits, who is refused."""
+"""Concurrency limiter of one backend server: start, queue or refuse each call."""
 
 import asyncio
 import random
@@ -11,51 +11,51 @@
 
 __all__ = ["SlotGate"]
 
-#: Callers who are told to come back do so spread over this share of the wait,
-#: or they would all return at the same moment.
+#: Random extension of the advised retry delay, as a share of it, so that refused callers
+#: don't all retry at the same moment.
 RETRY_JITTER = 0.5
 
-#: Callers that are refused for want of a slot are told to come back after at least this
-#: share of the time in which their call can still be run.
+#: Least advised retry delay after a refusal for lack of a slot, as a share of the time in
+#: which the call can still be started.
 RETRY_DELAY_SHARE = 0.4
 
-#: Products of slots and shares such as 0.8 fall short of whole numbers by so much.
+#: Added before rounding down: floating-point products of slots and shares such as 0.8 may
+#: fall just short of a whole number.
 ROUNDING_TOLERANCE = 1e-9
 
-#: Calls that take at most this share of the work that holds a slot at a random
-#: moment count as short.
+#: Calls that take at most this share of the slot-weighted median service time are short.
 SHORT_CALL_SHARE = 0.5
 
-#: A time counts as at most so many usual ones; what takes longer was met by a
-#: neighbour that came between two readings.
+#: Cap on the ratio of a service time to its route's baseline. Larger ratios come from a
+#: noisy neighbour that began between two readings of the host's slowdown.
 MAX_TIME_RATIO = 3.0
 
-#: Waiting calls per slot that bound the queue's memory; what limits its length
-#: in practice is whether a call can still finish in time.
+#: Queued calls per slot. This bounds memory only; in practice the queue stays shorter,
+#: since calls that cannot finish in time are refused.
 QUEUE_PER_SLOT = 16
 
 
 class SlotGate:
-    """Give out the slots of one backend server, at once, in order, or not at all.
+    """Limit the calls that run concurrently at one backend server, and queue the others.
 
     Parameters
     ----------
     slots : int
         The backend server's slots.
     share : float
-        Calls at once, as a share of the slots.
+        Initial concurrency limit, as a share of the slots.
     times : caperstack.admission.limit.ServiceTimes
-        How long calls take.
-    pace : caperstack.admission.slowdown.HostSlowdown
-        How long work takes on the host now.
+        Service times of the backend server.
+    slowdown : caperstack.admission.slowdown.HostSlowdown
+        Current slowdown of the host.
     cold : caperstack.admission.cold.ColdLimit
-        How many calls may start in a second while the server is cold.
+        Rate limit for starts while the server is cold.
     """
 
-    def __init__(self, slots, share, times, pace, cold):
+    def __init__(self, slots, share, times, slowdown, cold):
         self._share = share
         self._times = times
-        self._slowdown = pace
+        self._slowdown = slowdown
         self._cold = cold
         self._wakeup = None
         self._slots = slots
@@ -66,54 +66,59 @@
 
     @property
     def running(self):
-        """Calls that hold a slot."""
+        """Number of calls that hold a slot."""
         return self._running
 
     @property
     def waiting(self):
-        """Calls that wait for one."""
+        """Number of calls that wait for a slot."""
         return len(self._queue)
 
     @property
     def limit(self):
-        """Calls that may hold a slot at once now."""
+        """Number of calls that may hold a slot concurrently now."""
         if self._cold.wait() > 0:
             return max(1, min(self._running, self._limit.limit))
         return self._limit.limit
 
     def _initial_limit(self, slots):
-        # Rounded down: one call more than the share allows slows all of them.
+        # Rounded down, since one call more than the share allows slows all of them.
         return max(1, int(slots * self._share + ROUNDING_TOLERANCE))
 
     def resize(self, slots):
-        """The backend server has so many slots from now on."""
+        """Set the number of slots; a change discards the learnt limit."""
         if slots != self._slots:
             self._slots = slots
             self.restart()
             self._queue.resize(slots * QUEUE_PER_SLOT)
 
     def restart(self):
-        """Another backend server, or another start of it: nothing is learnt of it yet."""
+        """Discard the learnt limit, after the backend server was replaced or restarted."""
         self._knee = Knee(self._slots, self._initial_limit(self._slots))
         self._limit.resize(self._knee.limit)
 
     def start_cold(self):
-        """The backend server has just started: begin with few slots."""
+        """Begin with the lowest limit, since the backend server has just started."""
         self._limit.start_cold()
 
     def refuse_all(self, reason):
-        """Refuse every waiting call."""
+        """Refuse every waiting call with `reason`."""
         self._queue.refuse_all(reason)
 
     async def admit(self, call, on_wait):
-        """Take a slot for `call` and return ``None``, or return the `NotRun` that refuses.
+        """Acquire a slot for `call`, waiting for one if need be.
 
         Parameters
         ----------
         call : caperstack.calls.model.Call
             The call.
         on_wait : callable
-            Called with the expected wait in seconds, if the call has to wait.
+            Called with the expected wait in seconds if the call has to wait.
+
+        Returns
+        -------
+        NotRun or None
+            The refusal, or ``None`` once the call holds a slot.
         """
         self._limit.adjust()
         if self._may_start(call):
@@ -131,16 +136,15 @@
         self._cold.record_start()
 
     def _defers(self, call):
-        """Return whether `call` is better started once the host is quick again.
+        """Return whether to hold `call` back until the host's slow phase is over.
 
         Notes
         -----
-        Which load it answers: a neighbour takes the host for some hundred
-        milliseconds, again and again.  Work that starts then needs several
-        times as long to its end, also after the neighbour has gone, and its
-        slot is lost for others.
-        Waiting costs what is left of the neighbour's visit.  Work so short
-        that the wait would be longer starts at once.
+        A noisy neighbour takes the host's processor for some hundred milliseconds at a
+        time, repeatedly.  Work that starts in such a slow phase takes several times as
+        long to its end, even after the phase is over, and occupies its slot meanwhile.
+        Waiting costs the remainder of the phase, so calls whose extra service time is
+        shorter than that start at once.
         """
         if self._slowdown.awaiting_reading:
             return True
@@ -149,7 +153,7 @@
         return (self._slowdown.relative - 1) * self._expected_seconds(call) > VISIT_SECONDS
 
     def _expected_seconds(self, call):
-        """Return how long `call` takes on this host as a rule, in seconds."""
+        """Return the expected service time of `call` at the host's baseline, in seconds."""
         return self._times.service_seconds(call) * self._slowdown.baseline
 
     async def _wait_for_slot(self, call, on_wait):
@@ -162,7 +166,7 @@
         if self._queue.full and not self._queue.evict_for(call, service_seconds):
             return NotRun("queue is full", wait)
         waiter = self._queue.add(call, service_seconds)
-        # Calls ahead of it may be held while a slot is free and it is short.
+        # Longer calls ahead may be deferred while a slot is free for a short one.
         self.start_waiting()
         on_wait(wait)
         try:
@@ -177,22 +181,21 @@
 
     @property
     def _slot_holding_seconds(self):
-        """How long a slot is taken by the work that usually holds it, in seconds."""
+        """Slot-weighted median service time at the host's baseline, in seconds."""
         return self._times.median_slot_seconds * self._slowdown.baseline
 
     def _last_start(self, call, service_seconds):
-        """Return the point until which `call` waits for a slot.
+        """Return the time until which `call` may wait for a slot.
 
         Notes
         -----
-        Which load it answers: more calls than slots for seconds.  A call that
-        can no longer be in time is told so at once, and comes back or lets
-        its own caller go.  Late calls that wait take slots from those that can
-        still be in time, and calls of a tree wait while their parent holds a
-        slot of another service.
-
-        Short calls wait for one turn more: their parent has run for longer and
-        would fail with them.
+        In an overload that lasts for seconds, a call that can no longer meet its objective
+        is refused at once, so that its caller retries or gives up.  Late calls
+        in the queue would take slots from calls that can still be in time, and nested calls
+        would wait while their parent holds a slot of another service.
+
+        Short calls may wait for one median service time longer, since they are mostly nested:
+        the parent has run for longer and would fail with them.
         """
         in_time_until = (call.objective_at or call.deadline) - service_seconds
         turn = self._slot_holding_seconds if service_seconds <= self._queue.short_seconds else 0.0
@@ -204,15 +207,15 @@
         return wait * random.uniform(1.0, 1.0 + RETRY_JITTER)
 
     def _retry_after(self, call, service_seconds, wait):
-        """Return after how many seconds a call that got no slot should come back.
+        """Return the advised retry delay in seconds for a call that got no slot.
 
         Notes
         -----
-        Which load it answers: more calls than slots for a second or two.  A call that
-        could not be in time here is late whenever it comes back, and worth the same
-        until its deadline.  Callers who return at once are refused again and again
-        until they give up; later there may be room.  Short calls have a parent that
-        waits for them.
+        In an overload of a second or two, a call that missed its objective is late whenever
+        it is retried, and its answer is worth the same until the deadline.  Callers that
+        retry at once are refused repeatedly until they give up, while a later
+        retry may find a free slot.  Short calls are exempt from the least delay, since a
+        parent call waits for them.
         """
         if service_seconds > self._queue.short_seconds:
             wait = max(wait, RETRY_DELAY_SHARE * (time_left(call.deadline) - service_seconds))
@@ -225,8 +228,8 @@
         )
 
     def _cancel_wait(self, waiter):
-        # The slot may have been given in the same turn of the loop in which
-        # the wait ended: it would be lost for good if nobody handed it on.
+        # The slot may have been granted in the same iteration of the event loop in which
+        # the wait ended; it would leak if it were not released here.
         if waiter.admitted.done() and not waiter.admitted.cancelled():
             if waiter.admitted.result() == "":
                 self.release()
@@ -234,24 +237,24 @@
             waiter.admitted.cancel()
 
     def _expected_wait(self, call, service_seconds):
-        # Slots that are free stay so until a neighbour leaves, and all who come
-        # meanwhile share them.
+        # Slots that are free while calls are deferred stay free until the slow phase ends,
+        # and all calls that arrive meanwhile share them.
         free = self._limit.limit - self._running
         before = self._queue.ahead_of(call, service_seconds)
         ahead = max(0, before + 1 - free)
-        # The first reading comes long before a visit would end.
-        visited = free > 0 and not self._slowdown.awaiting_reading
-        wait = VISIT_SECONDS if visited else 0.0
+        # A call that waits for the first reading has to wait much less than a slow phase.
+        slow_phase = free > 0 and not self._slowdown.awaiting_reading
+        wait = VISIT_SECONDS if slow_phase else 0.0
         wait += ahead * self._times.recent * self._slowdown.baseline / self._limit.limit
         return max(wait, self._cold.wait(before))
 
     def release(self):
-        """Give a slot back."""
+        """Release a slot and start waiting calls."""
         self._running -= 1
         self.start_waiting()
 
     def start_waiting(self):
-        """Start the calls that may start now: a slot is free, or the host is quick again."""
+        """Start waiting calls as far as the limits and the host's slowdown allow."""
         self._limit.adjust()
         while self._running < self._allowed() and len(self._queue):
             wait = self._cold.wait()
@@ -275,17 +278,24 @@
         self.start_waiting()
 
     def _allowed(self):
-        """Return how many calls may be at work with the next that has waited."""
+        """Return the concurrency allowed once the next queued call has started."""
         limit = self._limit.limit
         return limit if limit < self._knee.limit else self._knee.allowed()
 
     def record_time(self, call, ratio):
-        """Note the time of a call that ended, against its route's usual.
+        """Record the service time of a finished call.
+
+        Parameters
+        ----------
+        call : caperstack.calls.model.Call
+            The call.
+        ratio : float
+            Its service time divided by the baseline of its route.
 
         Returns
         -------
         bool
-            Whether other many calls may be at work at once from now on.
+            Whether the learnt concurrency limit changed.
         """
         before = self._knee.limit
         if call.started_among:
--- a/caperstack/admission/limit.py
+++ b/caperstack/admission/limit.py
@@ -1,4 +1,4 @@
-"""The adaptive limit: how many calls a backend server may run at once."""
+"""Service times, circuit breaker and adaptive concurrency limit of a backend server."""
 
 import math
 
@@ -8,70 +8,74 @@
 
 __all__ = ["AdaptiveLimit", "CircuitBreaker", "ServiceTimes"]
 
-#: Weight of one call in the recent service time and in the share of failures.
+#: Weight of one sample in the exponential averages of the recent service time and of the
+#: failure share.
 FAST_WEIGHT = 0.1
 
-#: Seconds of work after which what held the slots before counts half: some 100
-#: calls of 200 ms, or 400 of 50.
+#: Total of slot time, in seconds, beyond which the slot time recorded per route is halved:
+#: some 100 calls of 200 ms, or 400 of 50 ms.
 MAX_SLOT_SECONDS = 20.0
 
-#: The time over which the recent one fades to the usual one without calls, and
-#: the usual one to nothing, in seconds.
+#: Without calls, time constants in seconds with which the recent service time decays to the
+#: baseline, and the baseline to zero.
 RECENT_DECAY_SECONDS = 0.2
 IDLE_DECAY_SECONDS = 10.0
 
-#: A server whose last calls took this many times longer than usual is tried
-#: with a call or two first.
+#: A server whose last calls took more than this many times the baseline is probed first,
+#: with at most `PROBE_CALLS` concurrent calls.
 PROBE_THRESHOLD = 2.0
 PROBE_CALLS = 2
 
-#: The times over which the middle average follows, and the usual time rises.
+#: Time constants in seconds of the medium-term average, and of a rise of the baseline.
 MEDIUM_SECONDS = 1.0
 BASELINE_RISE_SECONDS = 60.0
 
-#: The time over which a route's usual time follows, in seconds, and how many
-#: routes are told apart; beyond that they are learnt anew.
+#: Time constant of a route's average service time in seconds, and the number of routes
+#: tracked; when it is exceeded, all routes are discarded and learnt again.
 ROUTE_SECONDS = 5.0
 MAX_ROUTES = 500
 
-#: Answers after which a route's usual time is more than chance.
+#: Samples from which a route's average counts as reliable.
 MIN_ROUTE_SAMPLES = 5
 
-#: So many calls make the first usual time.
+#: Number of first calls during which the baseline follows the medium-term average.
 WARMUP_CALLS = 50
 
-#: A backend server is slowed once its recent time exceeds the usual one by
-#: this.  With heavy-tailed service times the mean age of twenty running calls
-#: is often twice the usual time by chance, rarely four times.
+#: Ratio of recent service time to baseline from which a backend server counts as slow. With
+#: heavy-tailed service times, the mean age of twenty running calls is often twice the
+#: baseline by chance, rarely four times.
 SLOW_FACTOR = 4.0
 
-#: The limit never falls below this share of the slots, so that a backend
-#: server whose load is cured can show it.
+#: Lowest limit as a share of the slots, so that a backend server that has recovered gets
+#: enough calls to show it.
 MIN_LIMIT_SHARE = 0.5
 
-#: How long the limit rests after a change, in seconds.
+#: Least interval between two adjustments of the limit, in seconds.
 ADJUST_SECONDS = 0.1
 
-#: The share of failures that closes the gate, by how much more it must be than
-#: at the other servers of the service, and how often a call may probe.
+#: The circuit breaker opens at this failure share if it also exceeds the share at the other
+#: servers of the service by the margin. While open it lets one probe through per interval,
+#: in seconds.
 OPEN_FAILURE_SHARE = 0.5
 OPEN_MARGIN = 0.25
 PROBE_SECONDS = 0.1
 
-#: How long the share of failures takes to fade in what others are told, in seconds.
+#: Time without calls over which the published failure share falls to zero, in seconds.
 FAILURE_DECAY_SECONDS = 5.0
 
-#: Service time that is assumed before the first call, in seconds, and the weight
-#: of each call's own guess until the first answer.
+#: Service time assumed before the first call, in seconds, and the weight of each call's own
+#: estimate until the first answer.
 INITIAL_SECONDS = 0.02
 GUESS_WEIGHT = 0.2
 
 
 class ServiceTimes:
-    """Recent service times of one backend server, calls still running included.
+    """Service times of one backend server, including calls that still run.
 
-    Times are divided by the host's pace at their start, so that a neighbour
-    who takes the host for a moment does not look like a slow server.
+    Notes
+    -----
+    Times are divided by the host's slowdown at the start of the call, so that a server on a
+    host in a slow phase does not itself appear slow.
     """
 
     def __init__(self):
@@ -86,27 +90,27 @@
 
     @property
     def known(self):
-        """Whether any call was answered."""
+        """Whether any call has been answered."""
         return self._fast is not None
 
     @property
     def baseline(self):
-        """The lowest average of late, in seconds; it rises slowly.
+        """Normal service time in seconds; it falls at once and rises slowly.
 
         Notes
         -----
-        An average alone would take a slowdown for usual while it lasts.
+        A plain average would soon take a lasting slowdown for normal.
         """
         return self._baseline
 
     @property
     def recent(self):
-        """The fast average in seconds, or the mean age of running calls if that is more.
+        """Recent average in seconds, or the mean age of running calls if that is greater.
 
         Notes
         -----
-        A server that slows down answers late, so answers alone would show it
-        late.  The age of the calls that still run shows it while they run.
+        A server that slows down answers late, so answers alone would reveal the slowdown
+        late.  The age of running calls reveals it while they run.
         """
         fast = self._decayed_average()
         if not self._started:
@@ -118,24 +122,23 @@
 
     @property
     def warmed_up(self):
-        """Whether enough calls were answered to know what is usual."""
+        """Whether enough calls were answered for a reliable baseline."""
         return self._medium.count > WARMUP_CALLS
 
     @property
     def needs_probing(self):
-        """Whether the last calls were slow, but so long ago that it may have changed."""
+        """Whether the last calls were slow, but so long ago that the server may have recovered."""
         if self._fast is None or now() - self._last_end < RECENT_DECAY_SECONDS:
             return False
         return self._fast > PROBE_THRESHOLD * self._baseline
 
     def restart(self):
-        """Another start of the backend server: how slow the last one was says nothing."""
+        """Discard the recent slowness, which says nothing of a restarted backend server."""
         self._fast = self._baseline if self.known else None
 
     def _decayed_average(self):
-        # Failure: a server that was slow gets no calls, so nothing shows that
-        # it is quick again, and it stays idle for good.  What the last calls
-        # showed fades, and a call or two try it.
+        # A slow server gets no calls, so nothing would show its recovery and it would stay
+        # idle for good.  The average therefore decays, until a call or two probe the server.
         if self._fast is None:
             return self._baseline
         idle = now() - self._last_end
@@ -143,7 +146,7 @@
         return self._baseline * math.exp(-idle / IDLE_DECAY_SECONDS) + excess
 
     def seed(self, call):
-        """Take the guess at the work of `call` for usual until the first answer."""
+        """Adjust the baseline to the estimate for `call`, until the first answer."""
         guess = guessed_seconds(call)
         if self.known or not guess:
             return
@@ -152,7 +155,7 @@
         self._seeded = True
 
     def service_seconds(self, call):
-        """Return how long `call` usually takes, in seconds."""
+        """Return the expected service time of `call` in seconds."""
         average = self._routes.get(call.route)
         if average is not None:
             return average.value
@@ -160,38 +163,46 @@
 
     @property
     def median_slot_seconds(self):
-        """How long work takes that holds a slot at a random moment, in seconds; 0 at first.
+        """Slot-weighted median of the routes' service times, in seconds; 0 at first.
 
         Notes
         -----
-        The median over slots, not calls: short calls may be most of the calls,
-        and yet most slots are held by long ones.  A mean in its place lets a
-        few odd calls of seconds make all others look short.
+        This is the service time of the call that occupies a slot at a random moment. The
+        median is over slot time rather than calls, since short calls may be the
+        majority while long ones occupy most slots.  With a mean, a few calls of several
+        seconds would make all others count as short.
         """
         times = sorted((self._routes[r].value, s) for r, s in self._slot_seconds.items())
         half = sum(self._slot_seconds.values()) / 2
-        for seconds, median_slot_seconds in times:
-            half -= median_slot_seconds
+        for seconds, slot_seconds in times:
+            half -= slot_seconds
             if half <= 0:
                 return seconds
         return 0.0
 
     def route_seconds(self, route):
-        """Return how long calls of `route` take, in seconds; 0 if few of them were answered."""
+        """Return the average service time of `route` in seconds, or 0 with too few samples."""
         average = self._routes.get(route)
         return average.value if average and average.count >= MIN_ROUTE_SAMPLES else 0.0
 
     def begin(self, key, pace=1.0, route=""):
-        """Note that the call of that key starts now, when work takes `pace` times the usual."""
+        """Record that the call `key` starts now, with the host's slowdown factor `pace`."""
         self._started[key] = (now(), pace, route)
 
     def end(self, key, counts=True):
-        """Note that the call of that key ended; with `counts` its time is a sample.
+        """Record that the call `key` ended.
+
+        Parameters
+        ----------
+        key : hashable
+            The call's key.
+        counts : bool, optional
+            Whether its time is a sample of the service time.
 
         Returns
         -------
         float
-            Its time against the usual one of its route; 0 if that is not known.
+            Ratio of its time to the baseline of its route; 0 if that is unknown.
         """
         start, pace, route = self._started.pop(key)
         elapsed = (now() - start) / pace
@@ -204,8 +215,8 @@
         self._medium.add(elapsed)
         gap = self._medium.value - self._baseline
         seconds = now() - self._last_end
-        follows = gap < 0 or self._medium.count <= WARMUP_CALLS
-        self._baseline += gap if follows else gap * min(1.0, seconds / BASELINE_RISE_SECONDS)
+        follow = gap < 0 or self._medium.count <= WARMUP_CALLS
+        self._baseline += gap if follow else gap * min(1.0, seconds / BASELINE_RISE_SECONDS)
         self._last_end = now()
         return elapsed / baseline if baseline else 0.0
 
@@ -223,21 +234,19 @@
 
 
 class CircuitBreaker:
-    """The share of recent calls that failed, and a gate that closes on too many.
+    """Circuit breaker on the share of recent calls that failed.
 
     Notes
     -----
-    Failure: a server answers errors at once, has free slots and the shortest
-    service time of all, and so draws more and more calls.  While most of its
-    calls fail, the owner refuses them, which proves that they did not run and
-    costs no retry, and lets a few through to see whether it is cured.  A call
-    that has no other server to go to passes all the same: when all servers
-    fail, their own errors tell the caller more than a refusal.
-
-    The gate stays open where the others fail about as often.  Failure: calls
-    that the work of a service makes fail elsewhere, and all its servers answer
-    errors.  One gate after the other would close on servers that are well;
-    they would stand idle and the rest be full.
+    A server that fails fast has free slots and the shortest service time, and so attracts
+    more and more calls.  While most of its calls fail, the owner refuses further ones,
+    which proves that they did not run and costs no retry, and lets a few through as probes.
+    A call that has no other server left is admitted all the same: when all servers fail,
+    their own errors tell the caller more than a refusal.
+
+    The breaker stays closed where the other servers fail about as often.  If nested calls
+    to another service fail, all servers of this one answer errors; their breakers would
+    open one after the other on healthy servers, which would be idle while the rest are full.
     """
 
     def __init__(self):
@@ -247,26 +256,26 @@
 
     @property
     def failure_percent(self):
-        """The share as whole percent, which fades to nothing without calls.
+        """Published failure share in whole percent; it falls to zero without calls.
 
         Notes
         -----
-        A server that is well again shows it only by calls, and gets none while
-        entries are told that it fails more than others.
+        A server can show its recovery only by calls, and gets none while entries hear that
+        it fails more often than others.
         """
         faded = max(0.0, 1.0 - (now() - self._added_at) / FAILURE_DECAY_SECONDS)
         return int(self._share * faded * 100)
 
-    def admits(self, others):
-        """Return whether a call that could go elsewhere may run here.
+    def admits(self, others_share):
+        """Return whether a call that has other servers left may run here.
 
         Parameters
         ----------
-        others : callable
-            ``others()`` tells the share of failures at the other servers of the
-            service; it is asked only where this one fails.
+        others_share : callable
+            ``others_share()`` returns the failure share at the other servers of the service;
+            it is called only if this server fails often.
         """
-        if self._share < OPEN_FAILURE_SHARE or self._share < others() + OPEN_MARGIN:
+        if self._share < OPEN_FAILURE_SHARE or self._share < others_share() + OPEN_MARGIN:
             return True
         if now() < self._probe_at:
             return False
@@ -274,25 +283,24 @@
         return True
 
     def restart(self):
-        """Another backend server, or another start of it: nothing has failed yet."""
+        """Close the breaker, after the backend server was replaced or restarted."""
         self._share = 0.0
         self._probe_at = 0.0
 
     def add(self, failed):
-        """Note one more call."""
+        """Record whether one more call failed."""
         self._added_at = now()
         self._share += FAST_WEIGHT * (failed - self._share)
 
 
 class AdaptiveLimit:
-    """The number of calls allowed at once, at most `slots`.
+    """Adaptive concurrency limit, at most `slots`.
 
     Notes
     -----
-    Slots that a noisy neighbour has taken do not show in any report, only in
-    the service time.  While the recent service time is far above the usual
-    one, the limit sinks by a tenth a step; it climbs by one a step when calls
-    are quick again.
+    Capacity that a noisy neighbour takes shows in no report, only in the service time.
+    While the recent service time is far above the baseline, each step lowers the limit by a
+    tenth; otherwise each step raises it by one.
     """
 
     def __init__(self, slots, times):
@@ -304,26 +312,26 @@
 
     @property
     def limit(self):
-        """The calls that may run at once now."""
+        """Number of calls that may run concurrently now."""
         return min(PROBE_CALLS, self._limit) if self._times.needs_probing else self._limit
 
     def resize(self, slots):
-        """Allow at most `slots` calls from now on."""
+        """Set the upper bound of the limit; a change also resets the limit to it."""
         if slots != self._slots:
             self._slots = self._limit = slots
             self._min_limit = max(1, int(slots * MIN_LIMIT_SHARE))
 
     def start_cold(self):
-        """Begin with the least limit and climb from there."""
+        """Begin with the lowest limit and rise from there."""
         self._limit = self._min_limit
 
     def adjust(self):
-        """Take one step up or down if the last step is long enough ago."""
+        """Move the limit one step up or down, unless the last step was too recent."""
         if now() < self._next_adjustment:
             return
         self._next_adjustment = deadline_after(ADJUST_SECONDS)
-        # Failure: an owner that has just started takes its first guess for
-        # usual, every call looks slow, and half the slots stay empty.
+        # Before the baseline is reliable, calls that exceed the initial estimate would all
+        # look slow, and half the slots of a new owner would stay empty.
         if self._times.warmed_up and self._times.recent > SLOW_FACTOR * self._times.baseline:
             self._limit = max(self._min_limit, int(self._limit * 0.9))
         elif self._limit < self._slots:
--- a/caperstack/admission/queue.py
+++ b/caperstack/admission/queue.py
@@ -1,4 +1,4 @@
-"""The owner's short queue: in time first, then by criticality and urgency."""
+"""Bounded priority queue of the owner: calls in time first, then by criticality and due time."""
 
 import asyncio
 import itertools
@@ -11,7 +11,19 @@
 
 @dataclass(eq=False, slots=True)
 class Waiter:
-    """A call that waits for a slot; ``admitted`` ends with a reason for refusal or ``""``."""
+    """A call that waits for a slot.
+
+    Attributes
+    ----------
+    call : caperstack.calls.model.Call
+        The call.
+    sequence : int
+        Order of arrival.
+    service_seconds : float
+        Expected service time in seconds.
+    admitted : asyncio.Future
+        Resolves to ``""`` once the call holds a slot, or to the reason of its refusal.
+    """
 
     call: object
     sequence: int
@@ -20,43 +32,47 @@
 
     @property
     def due_at(self):
-        """The point until which an answer is worth most."""
+        """Time of the call's objective, or of its deadline if it has none."""
         return self.call.objective_at or self.call.deadline
 
     def rank(self, moment, short_seconds):
-        """Return what orders waiting calls at `moment`; the lowest goes first.
+        """Return the sort key of the call at `moment`; the lowest key starts first.
 
         Parameters
         ----------
         moment : float
-            Now.
+            The current time.
         short_seconds : float
-            Calls that take at most so many seconds are never put behind others
-            for being late.
+            Calls with at most this service time are never ranked behind others for
+            being late.
 
         Notes
         -----
-        Which load it answers: more calls than slots for some seconds.  First
-        come, first served makes every call late once the queue is as long as
-        the objective, for as long as the overload lasts.  A call that can no
-        longer be in time waits behind all that still can.
-
-        Short calls are most often part of a longer one that runs elsewhere and
-        waits for them.  Failure: one of 55 ms was late after a tenth of a
-        second, waited behind work of 550 ms and was refused, and the booking
-        that had run for a second failed with it (5 of 27 in a recovery).
+        In an overload of some seconds, a first-come-first-served queue as long as the
+        objective makes every call late for as long as the overload lasts.  Calls that can
+        no longer meet their objective therefore rank behind all that still can.
+
+        Short calls are mostly nested in a longer call that runs elsewhere and waits for
+        them, so they are exempt.  Otherwise a call of 55 ms that is late after a tenth of a
+        second is refused behind work of 550 ms, and the booking that has run for a second
+        fails with it (5 of 27 bookings in a recovery).
         """
         late = moment + self.service_seconds > self.due_at and self.service_seconds > short_seconds
         return (late, -self.call.criticality, self.due_at, self.sequence)
 
 
 class AdmissionQueue:
-    """Waiting calls; those that can be answered in time go first.
+    """Queue of waiting calls, ordered by `Waiter.rank`.
+
+    Parameters
+    ----------
+    capacity : int
+        Greatest number of waiting calls.
 
     Attributes
     ----------
     short_seconds : float
-        Calls that take at most so many seconds count as short.
+        Greatest service time of a short call, in seconds.
     """
 
     def __init__(self, capacity):
@@ -70,11 +86,11 @@
 
     @property
     def full(self):
-        """Whether a further call would have to push another out."""
+        """Whether a further call would have to displace another."""
         return len(self._waiters) >= self._capacity
 
     def resize(self, capacity):
-        """Hold at most `capacity` calls from now on."""
+        """Set the capacity; calls that already wait stay."""
         self._capacity = capacity
 
     def add(self, call, service_seconds=0.0):
@@ -86,7 +102,7 @@
         return waiter
 
     def ahead_of(self, call, service_seconds=0.0):
-        """Return how many waiting calls would go before `call`, were it to wait."""
+        """Return the number of waiting calls that would start before `call`."""
         moment = now()
         mine = Waiter(call, next(self._sequence), service_seconds, None).rank(
             moment, self.short_seconds
@@ -98,16 +114,16 @@
     def _pending(self):
         return [waiter for waiter in self._waiters if not waiter.admitted.done()]
 
-    def admit_next(self, holds=None):
-        """Admit the first waiting call and return it, or ``None``.
+    def admit_next(self, defers=None):
+        """Admit the first waiting call and return it, or ``None`` if there is none.
 
         Parameters
         ----------
-        holds : callable, optional
-            ``holds(call)`` tells which calls are to wait on.
+        defers : callable, optional
+            ``defers(call)`` returns whether to skip a call, which then waits on.
         """
         moment = now()
-        ready = [w for w in self._pending() if holds is None or not holds(w.call)]
+        ready = [w for w in self._pending() if defers is None or not defers(w.call)]
         first = min(ready, key=lambda waiter: waiter.rank(moment, self.short_seconds), default=None)
         if first is None:
             return None
@@ -115,7 +131,9 @@
         return first.call
 
     def evict_for(self, call, service_seconds=0.0):
-        """Refuse the last waiting call if it would go after `call`.
+        """Refuse the last waiting call if it is late and `call` is not, or if it is less critical.
+
+        The due time and the order of arrival make no difference.
 
         Returns
         -------
@@ -137,7 +155,7 @@
         return True
 
     def refuse_all(self, reason):
-        """Refuse every waiting call."""
+        """Refuse every waiting call with `reason`."""
         for waiter in self._pending():
             self._resolve(waiter, reason)
 
