--- a/caperstack/admission/arrivals.py
+++ b/caperstack/admission/arrivals.py
@@ -1,70 +1,70 @@
-"""Which calls an owner refuses at once, before any slot is looked for."""
+"""Checks that refuse calls at the owner before they compete for a slot."""
 
 from caperstack.calls.model import NotRun
 from caperstack.clock import now, time_left
 
 __all__ = ["ArrivalChecks"]
 
-#: Calls that are left less than this share of their route's usual time are
-#: refused: fewer than one in a hundred would end in time (work times spread by
-#: 0.3), and the slot is lost for others.  Callers come back with a tenth of
-#: their time left.
+#: Calls with less time left than this share of their route's service time are refused. With a
+#: spread of work times of 0.3, fewer than one in a hundred would end in time, and they would
+#: occupy slots. Callers retry with as little as a tenth of their time left.
 SHORTEST_SHARE = 0.5
 
-#: How soon a call may come back that a failing server, or a host with a
-#: neighbour, sent elsewhere, in seconds: a third of a neighbour's visit.
+#: Advised retry delay for calls refused by a failing server or a slowed host, in seconds: a
+#: third of a slow phase.
 ELSEWHERE_SECONDS = 0.1
 
-#: The same after a pause of this node, which is over by the time that it shows.
+#: Advised retry delay after a pause of this node, in seconds; the pause is over by the time
+#: it is detected.
 PAUSED_SECONDS = 0.05
 
 
 class ArrivalChecks:
-    """Judge calls as they arrive, and once more before they are dispatched.
+    """Check calls on arrival, and again before they are dispatched.
 
     Parameters
     ----------
-    standing : caperstack.admission.status.ServerStatus
-        Whether the backend server takes calls, and for which service.
-    failures : caperstack.admission.limit.CircuitBreaker
-        How many of its calls fail.
+    status : caperstack.admission.status.ServerStatus
+        Whether the backend server accepts calls, and its service.
+    breaker : caperstack.admission.limit.CircuitBreaker
+        Circuit breaker of the backend server.
     times : caperstack.admission.limit.ServiceTimes
-        How long calls take.
-    pace : caperstack.admission.slowdown.HostSlowdown
-        How long work takes on the host now.
+        Service times of the backend server.
+    slowdown : caperstack.admission.slowdown.HostSlowdown
+        Current slowdown of the host.
     pauses : object
-        ``suspect()`` tells whether this process may have stood still.
+        ``suspect()`` returns whether this process may have been paused.
     members : caperstack.membership.members.Members
-        How many calls fail at the other servers of the service.
+        Provides the failure shares of the other servers of the service.
     suspects : caperstack.quarantine.suspects.Suspects
-        Which requests end the servers that run them.
+        Requests suspected of crashing the servers that run them.
     """
 
-    def __init__(self, standing, failures, times, pace, pauses, members, suspects):
-        self._status = standing
-        self._breaker = failures
+    def __init__(self, status, breaker, times, slowdown, pauses, members, suspects):
+        self._status = status
+        self._breaker = breaker
         self._times = times
-        self._slowdown = pace
+        self._slowdown = slowdown
         self._pauses = pauses
         self._members = members
         self._suspects = suspects
 
     def refusal(self, call):
-        """Return the `NotRun` for a call that is refused at once, or ``None``."""
+        """Return the refusal of an arriving call, or ``None`` if it may compete for a slot."""
         refusal = self.blocked(call) or self.too_late(call)
         return refusal or (None if call.last else self._redirect(call.service))
 
     def blocked(self, call):
-        """Return the `NotRun` for a call that the backend server must not get, or ``None``."""
+        """Return the refusal of a call that must not reach the backend server, or ``None``."""
         if self._status.closed:
             return NotRun(self._status.closed_reason, 0.0)
         if self._status.service not in ("", call.service):
-            # An address is used again: the entry's list is older than ours.
+            # The address was reassigned, and the entry's server list is older than ours.
             return NotRun("backend server is of another service", 0.0)
         return self._suspects.refusal(call)
 
     def _redirect(self, service):
-        """Return the `NotRun` for a call that has other servers left to try, or ``None``."""
+        """Return the refusal of a call that should try another server, or ``None``."""
         if not self._breaker.admits(lambda: self._others_failing(service)):
             return NotRun("backend server fails", ELSEWHERE_SECONDS)
         if self._slowdown.slowed:
@@ -74,21 +74,21 @@
         return None
 
     def _others_failing(self, service):
-        """Return the share of calls that fail at the other servers, the median of them.
+        """Return the median failure share at the other servers of the service.
 
         Notes
         -----
-        Of a large service this node hears of a few servers only; the others
-        would count as sound, and the gate would close as if there were none.
+        In a large service this node has load reports from a few servers only.  The others
+        are left out; counted as healthy, they would make the circuit breaker open.
         """
         here = self._members.here.host
         members = self._members.of_service(service)
-        heard = [m.estimate for m in members if m.host != here and m.estimate.age_ms is not None]
-        others = sorted(estimate.failing for estimate in heard)
-        return others[len(others) // 2] if others else 0.0
+        known = [m.estimate for m in members if m.host != here and m.estimate.age_ms is not None]
+        shares = sorted(estimate.failing for estimate in known)
+        return shares[len(shares) // 2] if shares else 0.0
 
     def too_late(self, call):
-        """Return the `NotRun` for a call that must not be dispatched any more, or ``None``."""
+        """Return the refusal of a call that is too late to dispatch, or ``None``."""
         if self._pauses.suspect():
             return NotRun("node was paused", PAUSED_SECONDS)
         if now() >= call.deadline:
--- a/caperstack/admission/memory.py
+++ b/caperstack/admission/memory.py
@@ -1,4 +1,4 @@
-"""What an owner remembers of calls, so that it can say truthfully how they ended."""
+"""Records of calls at the owner, from which it reports their outcomes reliably."""
 
 import asyncio
 from collections import OrderedDict
@@ -9,29 +9,29 @@
 
 __all__ = ["CallMemory", "Record"]
 
-#: For how long beyond its deadline, and how many, ended or revoked calls are
-#: remembered, so that a revocation that comes late is answered truthfully.  An
-#: entry asks until the deadline of its call and no longer.
+#: Retention of ended or revoked calls beyond their deadline, in seconds, and greatest number
+#: of records, so that a late revocation gets the true outcome. An entry asks only until the
+#: deadline of its call.
 MEMORY_SECONDS = 5.0
 MAX_RECORDS = 20_000
 
-#: How long a revocation is remembered whose call has not come, in seconds:
-#: longer than a message lies in the buffers of a connection.
+#: Retention of a revocation whose call has not arrived, in seconds: longer than a message
+#: stays in the buffers of a connection.
 REVOKED_SECONDS = 30.0
 
-#: How far two hosts' measures of one span of time may differ, in seconds.
+#: Greatest difference between two hosts' measurements of the same time span, in seconds.
 CLOCK_MARGIN_SECONDS = 0.05
 
-#: Answers up to this size are kept for an entry that lost its connection.
+#: Greatest size of an answer that is kept for an entry that lost its connection, in bytes.
 MAX_ANSWER_BYTES = 64 * 1024
 
-#: All answers kept together, in bytes.
+#: Greatest total size of the kept answers, in bytes.
 MAX_KEPT_BYTES = 16 * 1024 * 1024
 
 
 @dataclass(slots=True)
 class Record:
-    """One call: whether it went to the backend server, and how it ended."""
+    """Record of one call: whether it was dispatched to the backend server, and its outcome."""
 
     arrived_at: float
     forget_at: float
@@ -42,7 +42,7 @@
 
 
 class CallMemory:
-    """Records of calls by entry and number, bounded in time, count and bytes."""
+    """Records of calls by entry and call number, bounded in time, count and bytes."""
 
     def __init__(self):
         self._records = OrderedDict()
@@ -54,40 +54,39 @@
         return self._records.get((origin, number))
 
     def begin(self, call):
-        """Return the new `Record` of `call`, which runs in the current task."""
+        """Create and return the `Record` of `call`, which runs in the current task."""
         record = self._add((call.origin, call.id), call.deadline + MEMORY_SECONDS)
         record.task = asyncio.current_task()
         return record
 
     def revoke(self, origin, number):
-        """Return the `Record` of a call that has not come and must not run when it does."""
+        """Create the `Record` of a call that has not arrived and must not run if it does."""
         record = self._add((origin, number), deadline_after(REVOKED_SECONDS))
         record.outcome.set_result(NotRun("revoked before it arrived", 0.0))
         return record
 
     async def resolve(self, origin, number, sent_at):
-        """Stop a call that has not been dispatched, and return how it ended.
+        """Cancel a call that has not been dispatched, and return its outcome.
 
         Parameters
         ----------
         origin, number : str, int
             The call's entry and number.
         sent_at : float
-            When it was sent, on the local monotonic clock.
+            When the call was sent, on the local monotonic clock.
 
         Returns
         -------
         Outcome
-            `NotRun` is proof: the call never will run here.  A call that was
-            dispatched is waited for, its answer is the answer.
+            `NotRun` guarantees that the call will never run here.  If the call was
+            dispatched, its actual outcome is awaited.
 
         Notes
         -----
-        Failure: an owner is killed with a booking running in its backend
-        server, starts again with no memory, and is asked how the booking
-        ended.  It has never heard of it, says "not run", and the booking runs
-        a second time elsewhere.  An owner speaks only for calls that were sent
-        since it remembers everything.
+        An owner that is killed while a booking runs in its backend server has no records
+        after its restart.  If it then answered `NotRun` for a booking it does not know, the
+        booking would run a second time elsewhere.  An owner therefore answers `NotRun`
+        only for calls that were sent since its records are complete.
         """
         record = self.find(origin, number)
         if record is None and not self.covers(sent_at):
@@ -99,7 +98,7 @@
         return await asyncio.shield(record.outcome)
 
     def abandon(self, origin, number):
-        """Cancel call `number` of host `origin`; nobody waits for its answer."""
+        """Cancel call `number` of host `origin`, whose answer nobody awaits."""
         record = self.find(origin, number)
         if record is None:
             self.revoke(origin, number)
@@ -107,11 +106,11 @@
             record.task.cancel()
 
     def covers(self, sent_at):
-        """Return whether a call that was sent at `sent_at` would still be remembered."""
+        """Return whether a call that was sent at `sent_at` would still have a record."""
         return sent_at > self._since + CLOCK_MARGIN_SECONDS
 
     def settle(self, call, record, outcome):
-        """Note how `call` ended, and keep its answer if it is worth that."""
+        """Record the outcome of `call`, and keep its answer if it may be asked for."""
         if record.outcome.done():
             return
         record.task = None
@@ -139,7 +138,12 @@
             self._kept_bytes -= record.kept_bytes
 
     def _keep_answer(self, call, record, answer):
-        """Return whether `answer` is worth its memory; only bookings are asked after."""
+        """Reserve memory for `answer` and return whether to keep it.
+
+        Notes
+        -----
+        Entries ask only for the outcomes of calls that are not idempotent, such as bookings.
+        """
         size = len(answer.body)
         if call.idempotent or size > MAX_ANSWER_BYTES:
             return False
--- a/caperstack/admission/owner.py
+++ b/caperstack/admission/owner.py
@@ -1,4 +1,4 @@
-"""The owner: the exact decision beside the backend server."""
+"""Admission control at the owner, the node beside the backend server."""
 
 from caperstack.admission.arrivals import ArrivalChecks
 from caperstack.admission.execution import Execution
@@ -14,21 +14,21 @@
 
 __all__ = ["Owner"]
 
-#: A call starts on a reading of the pace that is at most so old, in seconds; each
-#: answer brings one.  At most 50 questions a second follow from it, of the 60
-#: that backend servers bear.
+#: Greatest age of the slowdown reading on which a call starts, in seconds; each answer brings
+#: a new one. This causes at most 50 queries per second, of the 60 that backend servers
+#: sustain.
 MAX_READING_AGE_SECONDS = 0.02
 
-#: How long a call that holds a slot waits for its body, in seconds: 64 kB over a link
-#: of 1 Mbit/s.
+#: Timeout for a call that holds a slot to receive its body, in seconds: 64 kB over a link of
+#: 1 Mbit/s.
 BODY_SECONDS = 0.5
 
 
 class Owner(ServerTracker):
     """Admit, queue, run or refuse calls for the one backend server beside this node.
 
-    Every call to the backend server passes here, so the calls in flight, the
-    free slots and the recent service times are known exactly and for nothing.
+    Every call to the backend server passes through its owner, which therefore knows the
+    calls in flight, the free slots and the service times exactly and at no cost.
 
     Parameters
     ----------
@@ -55,7 +55,7 @@
         self._suspect_running = False
 
     async def start(self, kernel):
-        """Find the services that this one needs."""
+        """Look up the services that the owner depends on."""
         await super().start(kernel)
         await self._execution.start(kernel)
         self._arrivals = ArrivalChecks(
@@ -69,7 +69,7 @@
         )
 
     async def stop(self):
-        """Stop; waiting calls are refused, running ones have ended before."""
+        """Refuse waiting calls; running ones have ended before."""
         self._gate.refuse_all("node stops")
 
     async def run(self, call, queued=None):
@@ -80,13 +80,12 @@
         call : caperstack.calls.model.Call
             The call.
         queued : callable, optional
-            Called if the call has to wait, so that the entry learns of it.
+            Called if the call has to wait, so that the entry is notified.
 
         Notes
         -----
-        The outcome is remembered under the call's identifier.  A call that
-        was revoked before it arrived meets the record of the revocation and
-        is refused.
+        The outcome is recorded under the call's identifier.  A call that was revoked
+        before it arrived is refused, since the record of the revocation exists.
         """
         if self._memory.find(call.origin, call.id) is not None:
             return NotRun("revoked before it arrived", 0.0)
@@ -96,7 +95,7 @@
         try:
             outcome = await self._admit_and_run(call, record, queued)
         except Exception as error:
-            # A fault in this program must not leave a caller without an answer.
+            # An unexpected exception must not leave the caller without an answer.
             self._events.state("fault", "none", f"{type(error).__name__}: {error}")
             outcome = _interrupted_outcome("internal error", record)
         finally:
@@ -104,14 +103,14 @@
         return outcome
 
     async def revoke(self, origin, number, sent_at):
-        """Stop a call that has not been dispatched, and return how it ended.
+        """Cancel a call that has not been dispatched, and return its outcome.
 
         See `caperstack.admission.memory.CallMemory.resolve`.
         """
         return await self._memory.resolve(origin, number, sent_at)
 
     def abandon(self, origin, number):
-        """Cancel call `number` of host `origin`; nobody waits for its answer."""
+        """Cancel call `number` of host `origin`, whose answer nobody awaits."""
         self._memory.abandon(origin, number)
 
     async def _admit_and_run(self, call, record, queued):
@@ -133,7 +132,7 @@
             self._gate.release()
 
     async def _fetch_body(self, call):
-        """Get the body that the entry has kept; return the `NotRun` if it does not come."""
+        """Fetch the body that the entry withheld; return a `NotRun` if that fails."""
         if call.withheld is None:
             return None
         try:
@@ -143,12 +142,12 @@
         return None
 
     async def _run_alone(self, call, record):
-        """Run a suspect while no other is at work here, or refuse it.
+        """Run a suspect request unless another one runs here, and refuse it otherwise.
 
         Notes
         -----
-        Failure: bystanders of two ends run beside the culprit once more; its server
-        ends, and all of them have three to their name.
+        Innocent requests that already ran during two crashes could otherwise run beside
+        the culprit once more; when the server crashes, all of them are charged with three crashes.
         """
         if self._suspect_running:
             refusal = NotRun("another suspect is at work", self._times.baseline)
@@ -175,7 +174,7 @@
         )
 
     async def _admit(self, call, queued):
-        """Take a slot and return ``None``, or return the `NotRun` that refuses."""
+        """Acquire a slot for `call` and return ``None``, or return the refusal."""
         refusal = self._arrivals.refusal(call)
         if refusal is None and self._reading_due:
             await self._refresh()
@@ -189,18 +188,18 @@
 
     @property
     def _reading_due(self):
-        """Whether to ask for the host's pace before a call starts.
+        """Whether to query the host's slowdown before a call starts.
 
         Notes
         -----
-        Which load it answers: a neighbour takes the host between two readings,
-        and what starts until the next one takes several times as long.  Or the
-        server may have turned cold, or warm.  A question beside it is cheap.
+        If a slow phase of the host begins between two readings, calls that start before the
+        next one take several times as long.  The server may also have turned cold or
+        warm.  A query from the node beside it is cheap.
         """
         if not self._refresh:
             return False
-        paced = not self._slowdown.slowed and self._slowdown.age > MAX_READING_AGE_SECONDS
-        return paced or self._cold.report_due
+        stale = not self._slowdown.slowed and self._slowdown.age > MAX_READING_AGE_SECONDS
+        return stale or self._cold.report_due
 
     def _record_wait_error(self, call):
         error = now() - call.start_expected_at
@@ -221,9 +220,10 @@
 
 
 def _objective_ms(call):
-    """Return how far the call's objective is away, for the log; negative once it is over."""
+    """Return the time left to the call's objective in milliseconds; negative once passed."""
     return round(time_left(call.objective_at or call.deadline) * 1000)
 
 
 def _interrupted_outcome(reason, record):
+    """Return the outcome of a call that was interrupted, which may have run if dispatched."""
     return Unknown(reason) if record.dispatched else NotRun(reason, 0.0)
--- a/caperstack/admission/status.py
+++ b/caperstack/admission/status.py
@@ -1,11 +1,11 @@
-"""Whether a backend server takes calls: by its list entry, its health and its answers."""
+"""State of a backend server, from its list entry, its health checks and its answers."""
 
 from caperstack.calls.model import ServerState
 from caperstack.clock import deadline_after, now
 
 __all__ = ["ServerStatus"]
 
-#: What calls are told in states in which there are no new ones.
+#: Reasons for the refusal of new calls, by closed state.
 CLOSED_REASONS = {
     ServerState.LEAVING: "backend server is leaving",
     ServerState.DOWN: "backend server is down",
@@ -13,21 +13,21 @@
     ServerState.STOPPING: "node stops",
 }
 
-#: How long an answered call shows that the backend server lives, in seconds.
+#: Time for which an answered call counts as a sign of life of the backend server, in seconds.
 ANSWERING_SECONDS = 2.0
 
 
 class ServerStatus:
-    """The state of one backend server and the instance that it is.
+    """State and identity of one backend server.
 
     Attributes
     ----------
     instance, service : str
-        The name of the backend server and its service; empty if unknown.
+        Instance name of the backend server and its service; empty if unknown.
     born_ms : int
-        When it started, in milliseconds since 1970; 0 if nobody says.
+        Its start in milliseconds since 1970; 0 if unknown.
     node_leaves : bool
-        The node itself stops, for good.
+        Whether the node itself is stopping.
     """
 
     def __init__(self):
@@ -44,7 +44,7 @@
 
     @property
     def state(self):
-        """The `ServerState` that everyone is told."""
+        """The published `ServerState`."""
         return self._state
 
     @property
@@ -54,65 +54,64 @@
 
     @property
     def closed_reason(self):
-        """Why no new call may go to the backend server; empty if calls may."""
+        """Reason why no new call may go to the backend server; empty if calls may."""
         return CLOSED_REASONS.get(self._state, "")
 
     @property
     def answering(self):
-        """Whether the backend server has answered a call lately."""
+        """Whether the backend server has answered a call recently."""
         return now() < self._answering_until
 
     def note_answer(self):
-        """The backend server has answered a call."""
+        """Record that the backend server has answered a call."""
         self._answering_until = deadline_after(ANSWERING_SECONDS)
 
     def set_state(self, state):
-        """Tell `state` from now on; return whether it is another one."""
+        """Set the published state; return whether it changed."""
         changed = state != self._state
         self._state = state
         return changed
 
     def set_listed(self, listed):
-        """Note whether the platform lists the server as serving; return the state that follows."""
+        """Set whether the platform lists the server as serving; return the effective state."""
         self._listed = listed
         return self._effective_state()
 
     def set_evacuated(self, evacuated):
-        """Note whether operators have evacuated the zone; return the state that follows."""
+        """Set whether operators have evacuated the zone; return the effective state."""
         self._evacuated = evacuated
         return self._effective_state()
 
     def set_health(self, state):
-        """Note what the health path shows; return the state that follows."""
+        """Set the state shown by the health path; return the effective state."""
         self._health = state
         if state in (ServerState.WARM, ServerState.COLD) and not self.instance:
-            # Nothing names who answers there: whoever does is the server.
+            # Without a known instance name, whatever answers at the address is the server.
             self._ended = False
         return self._effective_state()
 
-    def set_ended(self, gone):
-        """Note whether the listed server has ended; return the state that follows.
+    def set_ended(self, ended):
+        """Set whether the listed server has ended; return the effective state.
 
         Notes
         -----
-        Failure: a backend server ends and another start of it takes its address.
-        Until the list names that one, calls go on to the address, which turns
-        them away one by one (90 of 104 in the first second of such a server on a
-        day of a crashing service), and each counts against the allowance for
-        repeats.  The port that refuses a connection, and an answer that names
-        another instance, tell it at once.
+        When a backend server ends and a new start of it takes over the address, calls would
+        continue to go there until the list names the new start.  The address rejects them
+        one by one (90 of 104 in the first second of such a server, with a service that
+        kept crashing), and each counts against the retry budget.  A refused connection, or
+        an answer that names another instance, reveals the end at once.
         """
-        self._ended = gone
+        self._ended = ended
         return self._effective_state()
 
     def _effective_state(self):
-        """Return the worse of what is listed and what health shows.
+        """Combine list entry, evacuation and health into the effective state.
 
         Notes
         -----
-        Failure: a backend server that drains has a good health path for a
-        while, or for good; calls would go on to it after it said that it
-        leaves.  The list counts for that, health for whether it lives.
+        A draining backend server passes its health checks for a while, or always, and would
+        get calls after it announced that it leaves.  The list therefore decides whether it
+        leaves, and the health checks whether it is alive.
         """
         if self.node_leaves:
             return self._state
--- a/caperstack/admission/tracker.py
+++ b/caperstack/admission/tracker.py
@@ -1,4 +1,4 @@
-"""What an owner knows of its backend server, and whom it tells."""
+"""State and load of the owner's backend server, with change notifications."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 class ServerTracker:
-    """Follow the life of one backend server: listed, healthy, cold, started anew, ended.
+    """Track whether one backend server is listed, healthy, cold, restarted or ended.
 
     Parameters
     ----------
@@ -46,17 +46,17 @@
 
     @property
     def state(self):
-        """The `ServerState` that this owner tells everyone."""
+        """The published `ServerState`."""
         return self._status.state
 
     @property
     def answering(self):
-        """Whether the backend server has answered a call lately."""
+        """Whether the backend server has answered a call recently."""
         return self._status.answering
 
     @property
     def node_leaves(self):
-        """Whether the node itself stops."""
+        """Whether the node is stopping."""
         return self._status.node_leaves
 
     @property
@@ -66,12 +66,12 @@
 
     @property
     def instance(self):
-        """The instance of the backend server that calls are meant for; empty for any."""
+        """Instance of the backend server to which calls are addressed; empty for any."""
         return self._status.instance
 
     @property
     def load(self):
-        """The exact `Load` now."""
+        """The current, exact `Load`."""
         return Load(
             self._gate.running,
             self._gate.waiting,
@@ -84,56 +84,56 @@
         )
 
     async def start(self, kernel):
-        """Find the services that this one needs."""
+        """Look up the services that the tracker depends on."""
         self._metrics = kernel.find("metrics")
         self._events = kernel.find("events")
         self._suspects = kernel.find("suspects")
 
     def leave(self):
-        """The node itself stops: refuse new calls from now on, for good."""
+        """Refuse new calls permanently, since the node is stopping."""
         self._status.node_leaves = True
         self.set_state(ServerState.STOPPING)
 
     def set_listed(self, listed):
-        """Note whether the platform lists the backend server as serving."""
+        """Set whether the platform lists the backend server as serving."""
         self.set_state(self._status.set_listed(listed))
 
     def set_evacuated(self, evacuated):
-        """Note whether operators have evacuated the zone."""
+        """Set whether operators have evacuated the zone."""
         self.set_state(self._status.set_evacuated(evacuated))
 
     def set_health(self, state):
-        """Note what the backend server's health path shows."""
+        """Set the state that the backend server's health path shows."""
         if state == ServerState.WARM and self._cold.cold:
             state = ServerState.COLD
         self.set_state(self._status.set_health(state))
 
     def set_cold_remaining(self, seconds):
-        """The backend server says that it will be cold for so many seconds more; 0 if warm."""
+        """Record the report that the server stays cold for `seconds` more, or is warm if 0."""
         self._cold.set_remaining(seconds)
         self._gate.start_waiting()
 
     def set_cold_limit(self, per_second, cold_seconds=0.0):
-        """A cold backend server bears so many calls in a second, 0 for any number.
+        """Limit the calls to the backend server while it is cold.
 
         Parameters
         ----------
         per_second : float
-            Calls.
+            Calls per second that a cold server sustains; 0 for no bound.
         cold_seconds : float
-            For how long a server that has just started is cold; 0 if nobody says.
+            Time for which a server is cold after its start, in seconds; 0 if unknown.
         """
         self._cold.resize(per_second, cold_seconds)
 
     def note_instance(self, instance):
-        """Note which instance has answered; another one holds the address of one that ended."""
+        """Record which instance has answered; if it is another one, the assigned one has ended."""
         if instance == self._status.instance:
             self._watch.note_life()
         if instance and self._status.instance:
             self.set_state(self._status.set_ended(instance != self._status.instance))
 
     def set_state(self, state):
-        """Tell everyone `state` from now on; a closed one refuses new calls.
+        """Publish `state`; if it is a closed state, refuse waiting calls.
 
         Returns
         -------
@@ -150,33 +150,41 @@
         return True
 
     def notify_listeners(self):
-        """Tell peers the load now."""
+        """Call the listeners, which send the load to peers."""
         for listener in self._listeners:
             listener()
 
     def assign(self, instance, service, born_ms=0):
-        """The backend server is this start of this instance, of this service, from now on.
+        """Set the instance, start time and service of the backend server.
+
+        Parameters
+        ----------
+        instance : str
+            Name of the instance.
+        service : str
+            Its service.
+        born_ms : int, optional
+            Start of the server in milliseconds since 1970; 0 if unknown.
 
         Notes
         -----
-        Failure: a backend server starts again under the name that it had.  By
-        its name alone it looks like the one before: calls wait for slots that
-        the former run held, go out on connections that it had open, and are
-        refused for failures that were not this one's.  What ran there before
-        ends as unknown, not as not run.
+        The start time distinguishes a restart under the same instance name.  By name alone,
+        calls would wait for slots that the previous run held, use connections that it had
+        open, and be refused for failures of the previous run.  Calls that ran there
+        end as `Unknown`, not as `NotRun`.
         """
-        standing = self._status
-        if (instance, born_ms, service) == (standing.instance, standing.born_ms, standing.service):
+        status = self._status
+        if (instance, born_ms, service) == (status.instance, status.born_ms, status.service):
             return
-        self._events.state("instance", standing.instance, f"{instance} of {service}, {born_ms}")
-        first = not standing.instance
+        self._events.state("instance", status.instance, f"{instance} of {service}, {born_ms}")
+        first = not status.instance
         if not first:
             self._watch.started_anew()
-        moved = standing.service not in ("", service)
-        standing.instance = instance
-        standing.born_ms = born_ms
-        standing.service = service
-        self.set_state(standing.set_ended(False))
+        moved = status.service not in ("", service)
+        status.instance = instance
+        status.born_ms = born_ms
+        status.service = service
+        self.set_state(status.set_ended(False))
         self._slowdown.restart()
         if not first:
             self._reset_for_restart(moved)
@@ -189,8 +197,8 @@
         self._client.restart()
         if self._refresh is not None:
             self._expect_reading()
-        # Failure: a call waits here while the address goes to another service;
-        # named to the new instance, it runs there.
+        # Waiting calls must not be addressed to the new instance: if the address now belongs
+        # to another service, they would run there.
         reason = "backend server is of another service" if moved else "backend server started anew"
         self._gate.refuse_all(reason)
 
@@ -206,40 +214,40 @@
         self.set_state(self._status.set_ended(True))
 
     def resize(self, slots):
-        """The backend server has so many slots from now on."""
+        """Set the number of slots of the backend server."""
         self._gate.resize(slots)
 
     def listen(self, listener):
-        """Call ``listener()`` when the state, or the pace by enough, has changed."""
+        """Call ``listener()`` when the state changes, or the slowdown changes significantly."""
         self._listeners.append(listener)
 
     def expect_slowdown(self, refresh=None):
-        """Somebody has begun to ask for the host's pace; calls wait for the first reading.
+        """Defer calls until the first reading of the host's slowdown, which is now polled.
 
         Parameters
         ----------
         refresh : callable, optional
-            ``await refresh()`` asks once more, now.
+            ``await refresh()`` takes another reading at once.
         """
         self._refresh = refresh
         self._expect_reading()
 
     def _expect_reading(self):
         self._slowdown.expect_reading()
-        # Where none comes, what waited for it starts without.
+        # If none comes in time, the calls that wait for it start without one.
         asyncio.get_running_loop().call_later(FIRST_READING_SECONDS, self._gate.start_waiting)
 
     def set_slowdown(self, pace):
-        """Work on the host takes `pace` times the usual at this moment."""
+        """Record a reading: work on the host now takes `pace` times the nominal time."""
         first = self._slowdown.awaiting_reading
         if self._slowdown.record_reading(pace) or first:
             self.notify_listeners()
             self._gate.start_waiting()
 
     def set_published(self, in_flight):
-        """Note what the backend server's load endpoint gave."""
+        """Set the calls in flight as published by the backend server's load endpoint."""
         self._published = in_flight
 
     def start_cold(self):
-        """The backend server has just started: begin with few slots."""
+        """Begin with the lowest concurrency limit, since the backend server has just started."""
         self._gate.start_cold()
