--- a/caperstack/admission/__init__.py
+++ b/caperstack/admission/__init__.py
@@ -1,1 +1,1 @@
-"""The owner's decision: run, queue or refuse."""
+"""Admission control at the owner: run, queue or refuse each call."""
--- a/caperstack/admission/execution.py
+++ b/caperstack/admission/execution.py
@@ -1,4 +1,4 @@
-"""Calls at the backend server: sent once, their times and failures learnt."""
+"""Execution of calls at the backend server, with samples of their times and failures."""
 
 from caperstack.calls.model import NotRun, Unknown
 from caperstack.clock import now, time_left
@@ -11,46 +11,46 @@
 
 
 class Execution:
-    """Send calls that hold a slot to the backend server, and learn from how they end.
+    """Send calls that hold a slot to the backend server once, and record how they end.
 
     Parameters
     ----------
     client : object
         With ``async fetch(call, instance)``.
     gate : caperstack.admission.gate.SlotGate
-        Learns how long calls take with so many at once.
+        Receives the time ratio of each call, to learn the best concurrency.
     times : caperstack.admission.limit.ServiceTimes
-        Learns how long they take.
-    pace : caperstack.admission.slowdown.HostSlowdown
-        How long work takes on the host when a call begins.
-    failures : caperstack.admission.limit.CircuitBreaker
-        Learns how many fail.
-    standing : caperstack.admission.status.ServerStatus
-        The instance that calls are meant for; learns that it answers.
+        Receives the start and the service time of each call.
+    slowdown : caperstack.admission.slowdown.HostSlowdown
+        Provides the slowdown of the host when a call begins.
+    breaker : caperstack.admission.limit.CircuitBreaker
+        Receives the failures.
+    status : caperstack.admission.status.ServerStatus
+        Provides the instance to which calls are addressed; receives its signs of life.
     watch : caperstack.quarantine.crash.CrashWatch
-        Knows what is at work, and learns of lost connections.
+        Tracks the running calls, and receives lost connections.
     """
 
-    def __init__(self, client, gate, times, pace, failures, standing, watch):
+    def __init__(self, client, gate, times, slowdown, breaker, status, watch):
         self._client = client
         self._gate = gate
         self._times = times
-        self._slowdown = pace
-        self._breaker = failures
-        self._status = standing
+        self._slowdown = slowdown
+        self._breaker = breaker
+        self._status = status
         self._watch = watch
         self._metrics = None
         self._events = None
         self._suspects = None
 
     async def start(self, kernel):
-        """Find the services that this one needs."""
+        """Look up the services that the execution depends on."""
         self._metrics = kernel.find("metrics")
         self._events = kernel.find("events")
         self._suspects = kernel.find("suspects")
 
     async def run(self, call):
-        """Return the `Outcome` of `call`, which holds a slot."""
+        """Run `call`, which holds a slot, and return its `Outcome`."""
         self._times.begin((call.origin, call.id), self._slowdown.value, call.route)
         call.notes.append((now(), "dispatched"))
         self._events.decision(
@@ -81,8 +81,8 @@
                 self._suspects.note_survival(call.fingerprint)
             return answer
         except BackendError as error:
-            # Failure: a server so slow that no call ends before its deadline
-            # shows no time at all, looks as quick as ever, and draws calls.
+            # A call that reaches its deadline counts as a sample.  Otherwise a server so slow
+            # that no call ends in time would yield no samples, look fast and attract calls.
             counts = time_left(call.deadline) <= 0
             self._breaker.add(True)
             left = Left.UNANSWERED if error.sent else Left.NOT_RUN
