--- a/caperstack/admission/limit.py
+++ b/caperstack/admission/limit.py
@@ -79,7 +79,7 @@
     """
 
     def __init__(self):
-        self._fast = None
+        self._recent = None
         self._medium = TimedAverage(INITIAL_SECONDS, MEDIUM_SECONDS)
         self._baseline = INITIAL_SECONDS
         self._seeded = False
@@ -91,7 +91,7 @@
     @property
     def known(self):
         """Whether any call has been answered."""
-        return self._fast is not None
+        return self._recent is not None
 
     @property
     def baseline(self):
@@ -116,7 +116,7 @@
         if not self._started:
             return fast
         moment = now()
-        ages = sum((moment - start) / pace for start, pace, _ in self._started.values())
+        ages = sum((moment - start) / slowdown for start, slowdown, _ in self._started.values())
         ages /= len(self._started)
         return max(fast, ages)
 
@@ -128,21 +128,21 @@
     @property
     def needs_probing(self):
         """Whether the last calls were slow, but so long ago that the server may have recovered."""
-        if self._fast is None or now() - self._last_end < RECENT_DECAY_SECONDS:
+        if self._recent is None or now() - self._last_end < RECENT_DECAY_SECONDS:
             return False
-        return self._fast > PROBE_THRESHOLD * self._baseline
+        return self._recent > PROBE_THRESHOLD * self._baseline
 
     def restart(self):
         """Discard the recent slowness, which says nothing of a restarted backend server."""
-        self._fast = self._baseline if self.known else None
+        self._recent = self._baseline if self.known else None
 
     def _decayed_average(self):
         # A slow server gets no calls, so nothing would show its recovery and it would stay
         # idle for good.  The average therefore decays, until a call or two probe the server.
-        if self._fast is None:
+        if self._recent is None:
             return self._baseline
         idle = now() - self._last_end
-        excess = (self._fast - self._baseline) * math.exp(-idle / RECENT_DECAY_SECONDS)
+        excess = (self._recent - self._baseline) * math.exp(-idle / RECENT_DECAY_SECONDS)
         return self._baseline * math.exp(-idle / IDLE_DECAY_SECONDS) + excess
 
     def seed(self, call):
@@ -185,9 +185,9 @@
         average = self._routes.get(route)
         return average.value if average and average.count >= MIN_ROUTE_SAMPLES else 0.0
 
-    def begin(self, key, pace=1.0, route=""):
-        """Record that the call `key` starts now, with the host's slowdown factor `pace`."""
-        self._started[key] = (now(), pace, route)
+    def begin(self, key, slowdown=1.0, route=""):
+        """Record that the call `key` starts now, with the host's slowdown factor `slowdown`."""
+        self._started[key] = (now(), slowdown, route)
 
     def end(self, key, counts=True):
         """Record that the call `key` ended.
@@ -204,14 +204,14 @@
         float
             Ratio of its time to the baseline of its route; 0 if that is unknown.
         """
-        start, pace, route = self._started.pop(key)
-        elapsed = (now() - start) / pace
+        start, slowdown, route = self._started.pop(key)
+        elapsed = (now() - start) / slowdown
         if not counts:
             return 0.0
         baseline = self.route_seconds(route)
         self._learn_route(route, elapsed)
-        fast = elapsed if self._fast is None else self._decayed_average()
-        self._fast = fast + FAST_WEIGHT * (elapsed - fast)
+        fast = elapsed if self._recent is None else self._decayed_average()
+        self._recent = fast + FAST_WEIGHT * (elapsed - fast)
         self._medium.add(elapsed)
         gap = self._medium.value - self._baseline
         seconds = now() - self._last_end
--- a/caperstack/admission/slowdown.py
+++ b/caperstack/admission/slowdown.py
@@ -91,16 +91,16 @@
         """Expect the first reading, since polling has begun."""
         self._await_until = now() + FIRST_READING_SECONDS
 
-    def record_reading(self, pace):
+    def record_reading(self, slowdown):
         """Record a reading; return whether the slowdown changed enough to be reported."""
-        changed = not 1 / REPORTED_CHANGE < pace / self.value < REPORTED_CHANGE
-        self.value = pace
+        changed = not 1 / REPORTED_CHANGE < slowdown / self.value < REPORTED_CHANGE
+        self.value = slowdown
         self._read_at = now()
         if not self._minima:
             self._observed_since = self._read_at
-        while self._minima and self._minima[-1][1] >= pace:
+        while self._minima and self._minima[-1][1] >= slowdown:
             self._minima.pop()
-        self._minima.append((self._read_at, pace))
+        self._minima.append((self._read_at, slowdown))
         return changed
 
     def restart(self):
--- a/caperstack/admission/tracker.py
+++ b/caperstack/admission/tracker.py
@@ -237,10 +237,10 @@
         # If none comes in time, the calls that wait for it start without one.
         asyncio.get_running_loop().call_later(FIRST_READING_SECONDS, self._gate.start_waiting)
 
-    def set_slowdown(self, pace):
-        """Record a reading: work on the host now takes `pace` times the nominal time."""
+    def set_slowdown(self, slowdown):
+        """Record a reading: work on the host now takes `slowdown` times the nominal time."""
         first = self._slowdown.awaiting_reading
-        if self._slowdown.record_reading(pace) or first:
+        if self._slowdown.record_reading(slowdown) or first:
             self.notify_listeners()
             self._gate.start_waiting()
 
