--- a/caperstack/admission/tests/test_cold.py
+++ b/caperstack/admission/tests/test_cold.py
@@ -21,7 +21,7 @@
 BOUND = 17.75
 
 
-def most_in_a_second(starts):
+def max_starts_in_a_second(starts):
     """Return the most of the points `starts` that lie within one second."""
     return max((sum(1 for s in starts if 0 <= s - first <= 1.0) for first in starts), default=0)
 
@@ -48,19 +48,19 @@
             self.time += gap
         return starts
 
-    def test_no_bound_for_servers_that_name_none(self):
+    def test_servers_without_a_limit_get_any_number(self):
         for per_second in (0, 0.0):
             self.limit.resize(per_second)
             self.assertFalse(self.limit.cold)
             self.assertGreaterEqual(len(self.start_all(1.0, 0.01)), 100)
 
-    def test_cold_server_gets_no_more_than_it_bears(self):
+    def test_cold_server_is_not_overloaded(self):
         self.limit.set_remaining(10.0)
         starts = self.start_all(5.0, 0.001)
-        self.assertLessEqual(most_in_a_second(starts), BOUND)
+        self.assertLessEqual(max_starts_in_a_second(starts), BOUND)
         self.assertGreater(len(starts), 5 * 0.85 * BOUND)
 
-    def test_server_that_turns_cold_gets_no_more_than_it_bears(self):
+    def test_server_that_turns_cold_is_not_overloaded(self):
         """A warm server gets 40 calls a second, turns cold, and is told from before."""
         self.limit.set_remaining(0.0)
         cold_at = self.time + 2.0
@@ -68,9 +68,9 @@
             4.0, 0.025, lambda: self.limit.set_remaining(max(0.0, self.time - cold_at))
         )
         cold = [start for start in starts if start >= cold_at]
-        self.assertLessEqual(most_in_a_second(cold), BOUND)
+        self.assertLessEqual(max_starts_in_a_second(cold), BOUND)
 
-    def test_server_that_turns_cold_again_gets_no_more_than_it_bears(self):
+    def test_server_that_turns_cold_again_is_not_overloaded(self):
         """A server is to be warm by now and has turned cold again: it gets two shares at once."""
         end = self.time + 0.1
         starts = self.start_all(
@@ -78,22 +78,22 @@
         )
         starts += self.start_all(0.5, 0.001)
         self.assertTrue(self.limit.report_due)
-        self.assertLessEqual(most_in_a_second(starts), BOUND)
+        self.assertLessEqual(max_starts_in_a_second(starts), BOUND)
 
-    def test_server_counts_as_cold_until_its_first_word(self):
+    def test_server_counts_as_cold_until_its_first_report(self):
         starts = self.start_all(3.0, 0.001)
-        self.assertLessEqual(most_in_a_second(starts), BOUND)
+        self.assertLessEqual(max_starts_in_a_second(starts), BOUND)
         self.limit.set_remaining(0.0)
         self.assertFalse(self.limit.cold)
 
-    def test_server_that_says_nothing_for_long_counts_as_cold(self):
+    def test_server_without_reports_for_long_counts_as_cold(self):
         """The health path hangs while calls are answered; the server turned cold meanwhile."""
         self.limit.set_remaining(0.0)
         starts = self.start_all(3.0, 0.001)
-        self.assertLessEqual(most_in_a_second(starts[-20:]), BOUND)
+        self.assertLessEqual(max_starts_in_a_second(starts[-20:]), BOUND)
         self.assertTrue(self.limit.report_due)
 
-    def test_what_was_sent_before_this_process_began_counts(self):
+    def test_calls_sent_by_the_previous_process_count(self):
         """A node starts anew beside a cold server that its last process has just sent to."""
         limit = ColdLimit()
         limit.resize(BOUND)
@@ -102,7 +102,7 @@
         self.time += WINDOW_SECONDS
         self.assertEqual(limit.wait(), 0.0)
 
-    def test_server_that_turned_cold_after_this_process_began_got_nothing_unknown(self):
+    def test_server_that_turned_cold_after_process_start_has_no_unknown_calls(self):
         """All lose power, start together, and callers are refused though nobody has sent."""
         limit = ColdLimit()
         limit.resize(BOUND, 3.0)
@@ -115,14 +115,14 @@
         older.set_remaining(2.0)
         self.assertGreater(older.wait(), 0.0)
 
-    def test_another_start_of_the_server_got_nothing_yet(self):
+    def test_restarted_server_has_no_earlier_starts(self):
         self.limit.set_remaining(10.0)
         self.start_all(1.0, 0.001)
         self.limit.restart()
         self.assertTrue(self.limit.cold)
         self.assertEqual(self.limit.wait(), 0.0)
 
-    def test_wait_is_told_for_those_behind(self):
+    def test_wait_includes_the_calls_ahead(self):
         self.limit.set_remaining(10.0)
         for _ in range(self.limit.max_starts):
             self.limit.record_start()
@@ -131,7 +131,7 @@
 
     @settings(max_examples=50, deadline=None)
     @given(st.lists(st.floats(0.0001, 0.3), min_size=20, max_size=200), st.floats(1.0, 60.0))
-    def test_no_second_holds_more_than_the_bound(self, gaps, bound):
+    def test_no_second_exceeds_the_bound(self, gaps, bound):
         limit = ColdLimit()
         limit.resize(bound)
         limit.set_remaining(3600.0)
@@ -141,7 +141,7 @@
                 limit.record_start()
                 starts.append(self.time)
             self.time += gap
-        self.assertLessEqual(most_in_a_second(starts), max(1.0, bound))
+        self.assertLessEqual(max_starts_in_a_second(starts), max(1.0, bound))
 
 
 class FakeServer:
@@ -212,24 +212,24 @@
 
         return run_virtual(played), ended
 
-    def test_server_gets_what_it_bears_and_the_others_hear_at_once(self):
+    def test_cold_server_is_not_overloaded_and_excess_calls_are_refused_at_once(self):
         """Twice the calls that a cold server bears: it ends, or callers wait for their deadline.
 
         Without the limit it gets 34 in a second where it bears 17.
         """
         server, ended = self.play(34.0, 3.0, 10.0)
-        self.assertLessEqual(most_in_a_second(server.starts), BOUND)
+        self.assertLessEqual(max_starts_in_a_second(server.starts), BOUND)
         refused = [(outcome, took) for outcome, took, _ in ended if isinstance(outcome, NotRun)]
         self.assertGreater(len(refused), 20)
         self.assertGreater(len(server.starts), 3 * 0.85 * BOUND)
         self.assertLess(sorted(took for _, took in refused)[len(refused) // 2], 0.01)
         self.assertTrue(all(0 < outcome.retry_after < 2.5 for outcome, _ in refused))
 
-    def test_warm_server_gets_all(self):
+    def test_warm_server_gets_all_calls(self):
         server, ended = self.play(34.0, 3.0, 0.0)
         self.assertFalse([outcome for outcome, _, _ in ended if isinstance(outcome, NotRun)])
-        self.assertGreater(most_in_a_second(server.starts), BOUND)
+        self.assertGreater(max_starts_in_a_second(server.starts), BOUND)
 
-    def test_entries_are_told(self):
+    def test_cold_state_is_published(self):
         self.play(1.0, 0.5, 10.0)
         self.assertEqual(self.load.state, ServerState.COLD)
--- a/caperstack/admission/tests/test_knee.py
+++ b/caperstack/admission/tests/test_knee.py
@@ -5,10 +5,10 @@
 
 from caperstack.admission.knee import Knee
 
-SLOPE = 1.7
+SLOWDOWN_BEYOND_KNEE = 1.7
 
 
-class SteadyLoad:
+class OverloadedServer:
     """A server with more calls than slots, which slows down beyond a share of its slots."""
 
     def __init__(self, slots, share, seed=1):
@@ -18,9 +18,9 @@
         self._baseline = 1.0
 
     def slowdown(self, concurrency):
-        return SLOPE if concurrency > self._free else 1.0
+        return SLOWDOWN_BEYOND_KNEE if concurrency > self._free else 1.0
 
-    def done(self, concurrency):
+    def throughput(self, concurrency):
         """Return what the server gets done with so many at once."""
         return concurrency / self.slowdown(concurrency)
 
@@ -41,37 +41,37 @@
 
     def learnt(self, slots, share, starts=60_000, drift=None):
         knee = Knee(slots, max(1, int(0.8 * slots + 1e-9)))
-        load = SteadyLoad(slots, share)
+        load = OverloadedServer(slots, share)
         load.run(knee, starts, drift)
         return knee, load
 
-    def test_finds_the_best_or_nearly(self):
+    def test_learnt_limit_is_near_the_optimum(self):
         # At least 0.93 of what the best fixed limit gets done, wherever the slope is.
         for slots in (3, 6, 11, 18, 300):
             for share in (0.8, 0.95, 1.0):
                 knee, load = self.learnt(slots, share)
-                best = max(load.done(limit) for limit in range(1, slots + 1))
-                self.assertGreaterEqual(load.done(knee.limit), 0.93 * best, (slots, share))
+                best = max(load.throughput(limit) for limit in range(1, slots + 1))
+                self.assertGreaterEqual(load.throughput(knee.limit), 0.93 * best, (slots, share))
 
-    def test_slope_below_the_first_limit_is_no_worse_than_at_first(self):
+    def test_knee_below_the_initial_limit_loses_no_throughput(self):
         for slots in (3, 6, 11, 18, 300):
             knee, load = self.learnt(slots, 0.5)
-            first = load.done(max(1, int(0.8 * slots + 1e-9)))
-            self.assertGreaterEqual(load.done(knee.limit), first, slots)
+            first = load.throughput(max(1, int(0.8 * slots + 1e-9)))
+            self.assertGreaterEqual(load.throughput(knee.limit), first, slots)
 
-    def test_work_that_is_slow_for_other_causes_changes_nothing(self):
+    def test_work_slowed_by_other_causes_does_not_move_the_limit(self):
         # All calls take three times as long for a while, since calls of their
         # own wait elsewhere: that is no sign of too many at once.
         knee, _ = self.learnt(11, 0.8, drift=lambda number: 3.0 if number // 500 % 2 else 1.0)
         self.assertEqual(knee.limit, 8)
 
-    def test_slope_is_noticed_within_few_calls(self):
+    def test_limit_above_the_knee_is_lowered_within_600_starts(self):
         # The limit stands above the slope: a few hundred starts mend it.
         knee = Knee(11, 9)
-        SteadyLoad(11, 0.8).run(knee, 600)
+        OverloadedServer(11, 0.8).run(knee, 600)
         self.assertEqual(knee.limit, 8)
 
-    def test_trials_beyond_a_slope_become_rare(self):
+    def test_trials_beyond_the_knee_become_rare(self):
         knee, load = self.learnt(11, 0.8)
         beyond = 0
         for _ in range(10_000):
--- a/caperstack/admission/tests/test_limit.py
+++ b/caperstack/admission/tests/test_limit.py
@@ -27,7 +27,7 @@
         self.clock += seconds
         self.times.end("key")
 
-    def test_objective_stands_in_until_the_first_answer(self):
+    def test_objective_gives_the_estimate_until_the_first_answer(self):
         self.times.seed(self.call(0.6))
         self.assertFalse(self.times.known)
         self.assertAlmostEqual(self.times.recent, 0.222)
@@ -37,12 +37,12 @@
         self.assertAlmostEqual(self.times.service_seconds(self.call(0.6)), 0.3)
         self.assertAlmostEqual(self.times.recent, 0.3)
 
-    def test_answers_are_not_overruled_by_guesses(self):
+    def test_answers_take_precedence_over_estimates(self):
         self.answer(0.05)
         self.times.seed(self.call(1.5))
         self.assertAlmostEqual(self.times.baseline, 0.05)
 
-    def test_few_long_calls_do_not_make_the_usual_ones_short(self):
+    def test_few_long_calls_do_not_make_the_normal_ones_short(self):
         # Listings of 220 ms fill the slots of a server, and one call in twenty
         # takes two seconds.  Were listings short beside these, they would go
         # by arrival under overload, and each would be late.
@@ -50,17 +50,17 @@
             self.answer(2.0 if number % 20 == 0 else 0.22)
         self.assertGreater(0.22, 0.28 * self.times.median_slot_seconds)
 
-    def test_short_calls_are_short_though_they_are_most(self):
+    def test_short_calls_count_as_short_even_as_the_majority(self):
         for number in range(400):
             self.answer(0.29 if number % 8 < 3 else 0.055, "book" if number % 8 < 3 else "check")
         self.assertLess(0.055, 0.28 * self.times.median_slot_seconds)
 
-    def test_deadline_alone_tells_nothing(self):
+    def test_deadline_alone_gives_no_estimate(self):
         call = self.call(5.0)
         self.times.seed(call)
         self.assertAlmostEqual(self.times.service_seconds(call), 0.02)
 
-    def test_caller_whose_objective_is_over_tells_nothing(self):
+    def test_passed_objective_gives_no_estimate(self):
         self.answer(0.05, "check")
         self.assertAlmostEqual(self.times.service_seconds(self.call(-1.0)), 0.05)
 
--- a/caperstack/admission/tests/test_owner.py
+++ b/caperstack/admission/tests/test_owner.py
@@ -13,7 +13,7 @@
 from caperstack.exception import BackendError, PeerError
 from caperstack.quarantine.suspects import Suspects
 
-GOOD = Answered(200, "OK", [], b"")
+OK_ANSWER = Answered(200, "OK", [], b"")
 
 
 class FakeClient:
@@ -40,7 +40,7 @@
         finally:
             del self.running[call.id]
 
-    def answer(self, number, outcome=GOOD):
+    def answer(self, number, outcome=OK_ANSWER):
         if isinstance(outcome, Exception):
             self.running[number].set_exception(outcome)
         else:
@@ -69,7 +69,7 @@
             "suspects": self.suspects,
         }
         await self.owner.start(SimpleNamespace(find=services.__getitem__))
-        self.later = deadline_after(1.0)
+        self.sent_after_start = deadline_after(1.0)
 
     def call(self, number, seconds=5.0, criticality=1, patience=5.0):
         call = Call(number, "n", "r", "s", "POST", "/", [], b"", deadline_after(seconds), False)
@@ -77,14 +77,14 @@
         call.queue_until = deadline_after(patience)
         return call
 
-    def begin(self, number, **fields):
+    def start_call(self, number, **fields):
         return asyncio.create_task(self.owner.run(self.call(number, **fields)))
 
-    async def turn(self):
+    async def run_pending(self):
         for _ in range(5):
             await asyncio.sleep(0)
 
-    async def test_first_calls_are_not_promised_slots_that_never_come(self):
+    async def test_first_calls_that_cannot_start_in_time_are_refused(self):
         # All nodes were killed and start with no memory; callers return at
         # once.  Their objective of 0.6 s tells that work takes some 0.2 s, so
         # two slots can start seven more calls before these are hopeless.  The
@@ -95,7 +95,7 @@
             call.objective_at = deadline_after(0.6)
             call.queue_until = call.deadline
             tasks.append(asyncio.create_task(self.owner.run(call)))
-        await self.turn()
+        await self.run_pending()
         refused = [task for task in tasks if task.done()]
         self.assertEqual(len(self.client.started), 2)
         self.assertGreaterEqual(len(refused), 20)
@@ -104,7 +104,7 @@
         for task in tasks:
             task.cancel()
 
-    async def test_call_whose_body_does_not_come_is_not_run_and_gives_its_slot_back(self):
+    async def test_call_without_its_body_is_not_run_and_releases_its_slot(self):
         """The entry that keeps the body is gone: the call runs without it, or a slot is lost."""
 
         async def lost(_limit):
@@ -118,7 +118,7 @@
             self.assertIn("body did not come", refused.reason)
         self.assertEqual((self.client.started, self.owner.idle), ([], True))
 
-    async def test_body_is_brought_when_the_call_starts(self):
+    async def test_body_is_fetched_only_when_the_call_starts(self):
         """A call that waits for a slot has its body sent though it may never run."""
         brought = []
 
@@ -126,67 +126,67 @@
             brought.append(True)
             return b"body"
 
-        running = [self.begin(number) for number in (1, 2)]
+        running = [self.start_call(number) for number in (1, 2)]
         call = self.call(3)
         call.withheld = SimpleNamespace(fetch=fetch)
         waiting = asyncio.create_task(self.owner.run(call))
-        await self.turn()
+        await self.run_pending()
         self.assertEqual(brought, [])
         self.client.answer(1)
-        await self.turn()
+        await self.run_pending()
         self.client.answer(3)
-        self.assertEqual((await waiting, brought, call.body), (GOOD, [True], b"body"))
+        self.assertEqual((await waiting, brought, call.body), (OK_ANSWER, [True], b"body"))
         self.client.answer(2)
         await asyncio.gather(*running)
 
     async def test_evacuated_zone_refuses_new_and_waiting_calls_and_lets_running_ones_end(self):
         """A zone is evacuated: calls go on starting there, or running work is lost."""
-        running = [self.begin(number) for number in (1, 2)]
-        waiting = self.begin(3)
-        await self.turn()
+        running = [self.start_call(number) for number in (1, 2)]
+        waiting = self.start_call(3)
+        await self.run_pending()
         self.owner.set_evacuated(True)
         self.owner.set_health(ServerState.WARM)
         refused = await waiting
         self.assertEqual((type(refused), refused.reason), (NotRun, "zone is evacuated"))
-        self.assertEqual(await self.begin(4), NotRun("zone is evacuated", 0.0))
+        self.assertEqual(await self.start_call(4), NotRun("zone is evacuated", 0.0))
         self.assertEqual(self.owner.load.state, ServerState.EVACUATED)
         for number in (1, 2):
             self.client.answer(number)
-        self.assertEqual(await asyncio.gather(*running), [GOOD, GOOD])
+        self.assertEqual(await asyncio.gather(*running), [OK_ANSWER, OK_ANSWER])
         self.owner.set_evacuated(False)
-        again = self.begin(5)
-        await self.turn()
+        again = self.start_call(5)
+        await self.run_pending()
         self.client.answer(5)
-        self.assertEqual(await again, GOOD)
+        self.assertEqual(await again, OK_ANSWER)
 
-    async def test_calls_wait_for_the_first_reading_of_the_pace(self):
+    async def test_calls_wait_for_the_first_reading_of_the_slowdown(self):
         # An owner starts in the middle of a neighbour's visit and gets calls
         # before it has asked how long work takes.  Run at eight times its cost
         # a booking is cut off at its deadline.
         self.owner.expect_slowdown()
-        self.assertIsInstance(await self.begin(1), NotRun)
-        waiting = self.begin_last(2)
-        await self.turn()
+        self.assertIsInstance(await self.start_call(1), NotRun)
+        waiting = self.start_last_call(2)
+        await self.run_pending()
         self.assertEqual(self.client.started, [])
         self.owner.set_slowdown(1.0)
-        await self.turn()
+        await self.run_pending()
         self.client.answer(2)
-        self.assertEqual(await waiting, GOOD)
+        self.assertEqual(await waiting, OK_ANSWER)
 
-    async def test_call_in_a_hurry_waits_for_the_first_reading_too(self):
+    async def test_call_with_short_deadline_waits_for_the_first_reading(self):
         # A node has just started; a caller's route is over in 150 ms.  The
         # reading takes a millisecond as a rule, and refused for the length of a
         # visit that nobody has seen the caller would get 503 from a free server.
         self.owner.expect_slowdown()
-        waiting = self.begin_last(1, seconds=0.15)
-        await self.turn()
+        waiting = self.start_last_call(1, seconds=0.15)
+        await self.run_pending()
         self.owner.set_slowdown(1.0)
-        await self.turn()
+        await self.run_pending()
         self.assertEqual(self.client.started, [1])
         self.client.answer(1)
-        self.assertEqual(await waiting, GOOD)
+        self.assertEqual(await waiting, OK_ANSWER)
 
-    async def test_pace_is_asked_before_a_call_starts_on_an_old_reading(self):
+    async def test_slowdown_is_queried_before_a_call_starts_on_an_old_reading(self):
         # A neighbour takes the host just after a reading.  A booking that
         # starts before the next one needs four times as long and is late; a
         # question of a millisecond before the start sends it elsewhere.
@@ -199,26 +199,26 @@
         self.owner.set_slowdown(1.0)
         self.owner.expect_slowdown(refresh)
         with mock.patch("caperstack.admission.owner.MAX_READING_AGE_SECONDS", 60.0):
-            running = self.begin(1)
-            await self.turn()
+            running = self.start_call(1)
+            await self.run_pending()
         self.assertEqual((asked, self.client.started), ([], [1]))
         with mock.patch("caperstack.admission.owner.MAX_READING_AGE_SECONDS", 0.0):
-            self.assertIsInstance(await self.begin(2), NotRun)
+            self.assertIsInstance(await self.start_call(2), NotRun)
         self.assertEqual((asked, self.client.started), ([True], [1]))
         self.client.answer(1)
-        self.assertEqual(await running, GOOD)
+        self.assertEqual(await running, OK_ANSWER)
 
-    async def test_where_no_pace_is_told_calls_start_without(self):
+    async def test_calls_start_without_a_reading_if_none_arrives(self):
         with (
             mock.patch("caperstack.admission.tracker.FIRST_READING_SECONDS", 0.01),
             mock.patch("caperstack.admission.slowdown.FIRST_READING_SECONDS", 0.01),
         ):
             self.owner.expect_slowdown()
-        waiting = self.begin_last(1)
+        waiting = self.start_last_call(1)
         while not self.client.started:
             await asyncio.sleep(0.005)
         self.client.answer(1)
-        self.assertEqual(await waiting, GOOD)
+        self.assertEqual(await waiting, OK_ANSWER)
 
     async def test_waiting_call_is_not_run_by_another_service(self):
         # An inquiry waits for a slot. Meanwhile the address of the backend
@@ -226,25 +226,25 @@
         # once.  The new server takes what is sent to it by name, and would run
         # the inquiry.
         self.owner.assign("i1", "s")
-        tasks = [self.begin(1), self.begin(2), self.begin(3)]
-        await self.turn()
+        tasks = [self.start_call(1), self.start_call(2), self.start_call(3)]
+        await self.run_pending()
         self.owner.assign("i2", "other")
         self.client.answer(1)
         self.client.answer(2)
         await asyncio.gather(*tasks[:2])
-        await self.turn()
+        await self.run_pending()
         self.assertEqual(self.client.started, [1, 2])
         self.assertIsInstance(await tasks[2], NotRun)
 
-    async def test_new_start_under_the_same_name_takes_nothing_over(self):
+    async def test_restart_under_the_same_name_inherits_no_calls(self):
         # A backend server ends with two bookings at work and one that waits,
         # and starts again under its name.  The one that waits goes elsewhere at
         # once; the two that ran end as unknown, never as not run.
         self.owner.assign("i1", "s", 1000)
-        tasks = [self.begin(1), self.begin(2), self.begin(3)]
-        await self.turn()
+        tasks = [self.start_call(1), self.start_call(2), self.start_call(3)]
+        await self.run_pending()
         self.owner.assign("i1", "s", 1000)
-        await self.turn()
+        await self.run_pending()
         self.assertEqual((self.client.restarts, tasks[2].done()), (0, False))
         self.owner.assign("i1", "s", 2000)
         self.assertEqual(self.client.restarts, 1)
@@ -255,117 +255,122 @@
             self.assertIsInstance(await task, Unknown)
         self.assertEqual(self.client.started, [1, 2])
 
-    async def test_new_start_is_not_blamed_for_the_failures_of_the_last(self):
+    async def test_restart_clears_the_failure_share(self):
         self.owner.assign("i1", "s", 1000)
         for number in range(30):
-            task = self.begin_last(number)
-            await self.turn()
+            task = self.start_last_call(number)
+            await self.run_pending()
             self.client.answer(number, Answered(500, "Failed", [], b""))
             await task
         self.assertGreater(self.owner.load.failing, 90)
         self.owner.assign("i1", "s", 2000)
         self.assertEqual(self.owner.load.failing, 0)
 
-    async def test_slots_bound_what_runs_and_the_critical_goes_first(self):
-        tasks = [self.begin(1), self.begin(2), self.begin(3, criticality=0), self.begin(4)]
-        booking = self.begin(5, criticality=2)
-        await self.turn()
+    async def test_slots_limit_concurrency_and_critical_calls_start_first(self):
+        tasks = [
+            self.start_call(1),
+            self.start_call(2),
+            self.start_call(3, criticality=0),
+            self.start_call(4),
+        ]
+        booking = self.start_call(5, criticality=2)
+        await self.run_pending()
         self.assertEqual(self.client.started, [1, 2])
         for number in (1, 2):
             self.client.answer(number)
-        await self.turn()
+        await self.run_pending()
         self.assertEqual(self.client.started, [1, 2, 5, 4])
         for number in (5, 4):
             self.client.answer(number)
-        await self.turn()
+        await self.run_pending()
         self.client.answer(3)
-        self.assertEqual(await asyncio.gather(*tasks, booking), [GOOD] * 5)
+        self.assertEqual(await asyncio.gather(*tasks, booking), [OK_ANSWER] * 5)
         self.assertTrue(self.owner.idle)
 
-    async def test_wait_beyond_patience_is_refused_at_once(self):
-        running = [self.begin(1), self.begin(2)]
-        await self.turn()
-        outcome = await self.begin(3, patience=0.001)
+    async def test_call_that_would_wait_beyond_its_queue_limit_is_refused_at_once(self):
+        running = [self.start_call(1), self.start_call(2)]
+        await self.run_pending()
+        outcome = await self.start_call(3, patience=0.001)
         self.assertIsInstance(outcome, NotRun)
         self.assertEqual(self.client.started, [1, 2])
         for task in running:
             task.cancel()
 
-    async def test_cancelled_wait_gives_its_slot_on(self):
-        self.begin(1)
-        self.begin(2)
-        third, fourth = self.begin(3), self.begin(4)
-        await self.turn()
+    async def test_cancelled_wait_does_not_leak_its_slot(self):
+        self.start_call(1)
+        self.start_call(2)
+        third, fourth = self.start_call(3), self.start_call(4)
+        await self.run_pending()
         self.client.answer(1)
         third.cancel()
-        await self.turn()
+        await self.run_pending()
         self.assertIn(4, self.client.started)
         self.client.answer(2)
         self.client.answer(4)
-        self.assertEqual(await fourth, GOOD)
+        self.assertEqual(await fourth, OK_ANSWER)
         self.assertTrue(self.owner.idle)
 
-    async def test_revocation_comes_before_the_call(self):
+    async def test_call_revoked_before_its_arrival_does_not_run(self):
         # The entry lost its connection and asks over a new one; the call still
         # lies in the old one's buffer and is read later.  It must not run then.
-        self.assertIsInstance(await self.owner.revoke("n", 7, self.later), NotRun)
-        self.assertIsInstance(await self.begin(7), NotRun)
+        self.assertIsInstance(await self.owner.revoke("n", 7, self.sent_after_start), NotRun)
+        self.assertIsInstance(await self.start_call(7), NotRun)
         self.assertEqual(self.client.started, [])
 
-    async def test_revocation_of_a_waiting_call(self):
-        tasks = [self.begin(n) for n in (1, 2, 3)]
-        await self.turn()
-        self.assertIsInstance(await self.owner.revoke("n", 3, self.later), NotRun)
+    async def test_revoked_waiting_call_does_not_run(self):
+        tasks = [self.start_call(n) for n in (1, 2, 3)]
+        await self.run_pending()
+        self.assertIsInstance(await self.owner.revoke("n", 3, self.sent_after_start), NotRun)
         self.client.answer(1)
-        await self.turn()
+        await self.run_pending()
         self.assertNotIn(3, self.client.started)
         for task in tasks:
             task.cancel()
 
     async def test_revocation_of_a_running_call_waits_for_its_answer(self):
-        self.begin(1)
-        await self.turn()
-        asked = asyncio.create_task(self.owner.revoke("n", 1, self.later))
-        await self.turn()
+        self.start_call(1)
+        await self.run_pending()
+        asked = asyncio.create_task(self.owner.revoke("n", 1, self.sent_after_start))
+        await self.run_pending()
         self.client.answer(1)
-        self.assertEqual(await asked, GOOD)
-        self.assertEqual(await self.owner.revoke("n", 1, self.later), GOOD)
+        self.assertEqual(await asked, OK_ANSWER)
+        self.assertEqual(await self.owner.revoke("n", 1, self.sent_after_start), OK_ANSWER)
 
-    async def test_owner_does_not_speak_for_what_was_before_its_time(self):
+    async def test_outcome_of_a_call_sent_before_the_owner_started_is_unknown(self):
         # An owner is killed with a booking running, starts again and is asked
         # how the booking ended.  It never heard of it, which proves nothing.
         before = deadline_after(-1.0)
         self.assertIsInstance(await self.owner.revoke("n", 7, before), Unknown)
 
-    async def test_owner_does_not_speak_for_what_it_forgot(self):
+    async def test_outcome_of_a_call_whose_record_was_evicted_is_unknown(self):
         # A booking ran, its answer was lost, and the record was dropped to
         # make room before the entry could ask.
         with mock.patch("caperstack.admission.memory.MAX_RECORDS", 3):
             sent = deadline_after(0.06)
             await asyncio.sleep(0.1)
             for number in range(1, 8):
-                task = self.begin(number)
-                await self.turn()
+                task = self.start_call(number)
+                await self.run_pending()
                 self.client.answer(number)
                 await task
             self.assertIsInstance(await self.owner.revoke("n", 1, sent), Unknown)
-            self.assertEqual(await self.owner.revoke("n", 7, sent), GOOD)
+            self.assertEqual(await self.owner.revoke("n", 7, sent), OK_ANSWER)
 
-    async def test_same_number_of_another_entry_is_another_call(self):
-        self.assertIsInstance(await self.owner.revoke("other", 1, self.later), NotRun)
-        task = self.begin(1)
-        await self.turn()
+    async def test_revocation_does_not_affect_the_same_number_of_another_entry(self):
+        self.assertIsInstance(await self.owner.revoke("other", 1, self.sent_after_start), NotRun)
+        task = self.start_call(1)
+        await self.run_pending()
         self.client.answer(1)
-        self.assertEqual(await task, GOOD)
+        self.assertEqual(await task, OK_ANSWER)
 
-    async def test_two_entries_may_number_their_calls_alike(self):
+    async def test_concurrent_calls_of_two_entries_may_share_a_number(self):
         # Two nodes start in the same microsecond and number their calls from
         # the same point.  Both calls run here at once; when the second ended,
         # the owner failed on the first one's time and told "unknown" of a
         # booking that was answered.
         async def fetch(call, instance=""):
             await asyncio.sleep(0.01)
-            return GOOD
+            return OK_ANSWER
 
         self.client.fetch = fetch
         calls = [
@@ -375,15 +380,15 @@
         for call in calls:
             call.queue_until = call.deadline
         outcomes = await asyncio.gather(*(self.owner.run(call) for call in calls))
-        self.assertEqual(outcomes, [GOOD, GOOD])
+        self.assertEqual(outcomes, [OK_ANSWER, OK_ANSWER])
 
-    async def test_late_or_held_calls_are_not_dispatched(self):
-        self.assertIsInstance(await self.begin(1, seconds=-0.1), NotRun)
+    async def test_expired_calls_and_calls_after_a_pause_are_not_dispatched(self):
+        self.assertIsInstance(await self.start_call(1, seconds=-0.1), NotRun)
         self.paused = True
-        self.assertIsInstance(await self.begin(2), NotRun)
+        self.assertIsInstance(await self.start_call(2), NotRun)
         self.assertEqual(self.client.started, [])
 
-    async def test_failures_of_the_backend_server(self):
+    async def test_failed_calls_get_the_right_outcome_and_release_their_slots(self):
         for number, (error, kind) in enumerate(
             (
                 (BackendError("refused", sent=False), NotRun),
@@ -391,116 +396,116 @@
                 (RuntimeError("a fault of ours"), Unknown),
             )
         ):
-            task = self.begin(number)
-            await self.turn()
+            task = self.start_call(number)
+            await self.run_pending()
             self.client.answer(number, error)
             self.assertIsInstance(await task, kind)
         self.assertTrue(self.owner.idle)
 
-    async def test_stopping_refuses_what_waits_and_finishes_what_runs(self):
-        tasks = [self.begin(n) for n in (1, 2, 3)]
-        await self.turn()
+    async def test_stopping_node_refuses_waiting_calls_and_finishes_running_ones(self):
+        tasks = [self.start_call(n) for n in (1, 2, 3)]
+        await self.run_pending()
         self.owner.leave()
         self.assertEqual(self.owner.state, ServerState.STOPPING)
         self.assertIsInstance(await tasks[2], NotRun)
         self.client.answer(1)
         self.client.answer(2)
-        self.assertEqual([await t for t in tasks[:2]], [GOOD, GOOD])
+        self.assertEqual([await t for t in tasks[:2]], [OK_ANSWER, OK_ANSWER])
 
     async def test_failing_server_refuses_calls_that_can_go_elsewhere(self):
         for number in range(10):
-            await self.quick(number)
-        refused = [await self.quick(n) for n in range(30, 34)]
+            await self.run_failing_call(number)
+        refused = [await self.run_failing_call(n) for n in range(30, 34)]
         self.assertTrue(all(isinstance(outcome, NotRun) for outcome in refused[1:]))
-        last = self.begin_last(40)
-        await self.turn()
+        last = self.start_last_call(40)
+        await self.run_pending()
         self.client.answer(40)
-        self.assertEqual(await last, GOOD)
+        self.assertEqual(await last, OK_ANSWER)
 
-    async def test_server_that_fails_like_all_others_goes_on(self):
+    async def test_server_that_fails_like_the_others_keeps_running_calls(self):
         # Checks that the work of all servers of a service makes fail elsewhere;
         # each of them answers errors.  Refused here, calls would find the
         # others full, and this one would stand idle.
         self.others = [self.server(host, 0.8, 10) for host in "abc"]
-        outcomes = [await self.quick(number) for number in range(30)]
+        outcomes = [await self.run_failing_call(number) for number in range(30)]
         self.assertFalse(any(isinstance(outcome, NotRun) for outcome in outcomes))
 
-    async def test_servers_that_nobody_heard_of_do_not_count_as_sound(self):
+    async def test_servers_without_load_report_do_not_count_as_healthy(self):
         # The same in a service of fifty servers, of which this node calls three.
         self.others = [self.server(host, 0.8, 10) for host in "abc"]
         self.others += [self.server(f"far-{number}", 0.0, None) for number in range(50)]
-        outcomes = [await self.quick(number) for number in range(30)]
+        outcomes = [await self.run_failing_call(number) for number in range(30)]
         self.assertFalse(any(isinstance(outcome, NotRun) for outcome in outcomes))
 
     @staticmethod
     def server(host, failing, age_ms):
         return SimpleNamespace(host=host, estimate=SimpleNamespace(failing=failing, age_ms=age_ms))
 
-    async def quick(self, number):
-        task = self.begin(number)
-        await self.turn()
+    async def run_failing_call(self, number):
+        task = self.start_call(number)
+        await self.run_pending()
         if number in self.client.running:
             self.client.answer(number, Answered(500, "", [], b""))
         return await task
 
-    def begin_last(self, number, seconds=5.0):
+    def start_last_call(self, number, seconds=5.0):
         call = Call(number, "n", "r", "s", "POST", "/", [], b"", deadline_after(seconds), False)
         call.queue_until = call.deadline
         call.last = True
         return asyncio.create_task(self.owner.run(call))
 
-    async def test_call_waits_while_a_neighbour_has_the_host(self):
+    async def test_call_is_deferred_while_the_host_is_slowed(self):
         # A neighbour takes the host for 300 ms.  A listing that started now
         # would need four times as long to its end; it starts when the
         # neighbour has gone, and the caller has it sooner.
-        await self.learn_time(0.3)
+        await self.set_service_time(0.3)
         self.owner.set_slowdown(1.0)
         self.owner.set_slowdown(4.0)
-        held = self.begin_last(50)
-        await self.turn()
+        held = self.start_last_call(50)
+        await self.run_pending()
         self.assertNotIn(50, self.client.started)
-        self.assertIsInstance(await self.begin(51), NotRun)
+        self.assertIsInstance(await self.start_call(51), NotRun)
         self.owner.set_slowdown(1.0)
-        await self.turn()
+        await self.run_pending()
         self.client.answer(50)
-        self.assertEqual(await held, GOOD)
+        self.assertEqual(await held, OK_ANSWER)
 
-    async def test_short_work_and_a_slow_host_for_good_do_not_wait(self):
-        await self.learn_time(0.01)
+    async def test_short_call_starts_on_a_slowed_host(self):
+        await self.set_service_time(0.01)
         self.owner.set_slowdown(1.0)
         self.owner.set_slowdown(4.0)
-        short = self.begin_last(50)
-        await self.turn()
+        short = self.start_last_call(50)
+        await self.run_pending()
         self.client.answer(50)
-        self.assertEqual(await short, GOOD)
+        self.assertEqual(await short, OK_ANSWER)
 
-    async def test_host_that_is_slow_for_good_takes_calls(self):
-        await self.learn_time(0.3)
+    async def test_permanently_slow_host_runs_calls(self):
+        await self.set_service_time(0.3)
         self.owner.set_slowdown(1.0)
         with mock.patch("caperstack.admission.slowdown.BASELINE_SECONDS", 0.0):
             self.owner.set_slowdown(4.0)
-            lasting = self.begin_last(52)
-            await self.turn()
+            lasting = self.start_last_call(52)
+            await self.run_pending()
             self.client.answer(52)
-            self.assertEqual(await lasting, GOOD)
+            self.assertEqual(await lasting, OK_ANSWER)
 
     async def test_call_with_too_little_time_left_is_refused_at_once(self):
         # A listing comes back with 100 ms left; it takes 300.  Run, it would
         # end at its deadline with nothing for its caller, and hold a slot.
-        await self.learn_time(0.3)
-        self.assertIsInstance(await self.begin(1, seconds=0.1), NotRun)
+        await self.set_service_time(0.3)
+        self.assertIsInstance(await self.start_call(1, seconds=0.1), NotRun)
         self.assertEqual(self.client.started, [])
 
-    async def test_calls_that_can_be_in_time_go_before_late_ones(self):
+    async def test_calls_that_can_be_in_time_start_before_late_ones(self):
         # After an outage callers who have waited too long come back before
         # new ones.  In the order of arrival all would be late.
-        await self.learn_time(0.2)
-        tasks = [self.begin(1), self.begin(2)]
-        await self.turn()
-        late, fresh = self.waiting_call(3, 0.1), self.waiting_call(4, 0.6)
-        await self.turn()
+        await self.set_service_time(0.2)
+        tasks = [self.start_call(1), self.start_call(2)]
+        await self.run_pending()
+        late, fresh = self.start_call_with_objective(3, 0.1), self.start_call_with_objective(4, 0.6)
+        await self.run_pending()
         self.client.answer(1)
-        await self.turn()
+        await self.run_pending()
         self.assertEqual(self.client.started, [1, 2, 4])
         for task in (*tasks, late, fresh):
             task.cancel()
@@ -509,35 +514,35 @@
         # In an overload a call comes whose objective is over.  It is told so
         # now, not when its five seconds are over, and takes no place in the
         # queue from those that can be in time.
-        tasks = [self.begin(1), self.begin(2)]
-        await self.turn()
-        late = self.waiting_call(3, 0.0)
-        await self.turn()
+        tasks = [self.start_call(1), self.start_call(2)]
+        await self.run_pending()
+        late = self.start_call_with_objective(3, 0.0)
+        await self.run_pending()
         self.assertTrue(late.done())
         self.assertIsInstance(late.result(), NotRun)
         self.assertEqual(self.owner.load.queued, 0)
         for task in tasks:
             task.cancel()
 
-    async def test_late_call_without_a_slot_is_told_to_come_back_later(self):
+    async def test_late_call_refused_for_lack_of_a_slot_gets_a_long_retry_delay(self):
         """Callers return at once, are refused each time and give up before there is room."""
-        await self.learn_time(0.05)
-        tasks = [self.begin(1), self.begin(2)]
-        await self.turn()
-        refused = await self.waiting_call(3, 0.0)
+        await self.set_service_time(0.05)
+        tasks = [self.start_call(1), self.start_call(2)]
+        await self.run_pending()
+        refused = await self.start_call_with_objective(3, 0.0)
         self.assertEqual(refused.reason, "no slot in time")
         self.assertGreater(refused.retry_after, RETRY_DELAY_SHARE * 4.9)
         self.assertLess(refused.retry_after, 5.0)
         for task in tasks:
             task.cancel()
 
-    async def test_error_of_the_expected_wait_is_timed(self):
-        running = self.begin(1), self.begin(2)
-        await self.turn()
-        waiting = self.begin(3)
-        await self.turn()
+    async def test_error_of_the_expected_wait_is_measured(self):
+        running = self.start_call(1), self.start_call(2)
+        await self.run_pending()
+        waiting = self.start_call(3)
+        await self.run_pending()
         self.client.answer(1)
-        await self.turn()
+        await self.run_pending()
         timed = [seen.args for seen in self.metrics.time.call_args_list]
         ((_, seconds, label),) = [args for args in timed if args[0] == "wait_error_seconds"]
         self.assertIn(label, ("sooner", "later"))
@@ -546,29 +551,29 @@
             task.cancel()
 
     async def test_late_call_runs_where_a_slot_is_free(self):
-        running = self.begin(1)
-        await self.turn()
-        late = self.waiting_call(2, 0.0)
-        await self.turn()
+        running = self.start_call(1)
+        await self.run_pending()
+        late = self.start_call_with_objective(2, 0.0)
+        await self.run_pending()
         self.client.answer(2)
-        self.assertEqual(await late, GOOD)
+        self.assertEqual(await late, OK_ANSWER)
         running.cancel()
 
-    async def test_call_of_a_tree_lets_its_parent_go(self):
+    async def test_nested_call_that_cannot_be_in_time_is_refused_early(self):
         # A lookup runs at another service and waits for a check here that takes
         # 15 ms of the 80 it has.  All slots are taken.  The check is refused
         # when it can't be in time any more, so that the lookup ends and frees
         # its slot, not 200 ms later with the deadline of both.
-        await self.learn_time(0.015)
-        tasks = [self.begin(1), self.begin(2)]
-        await self.turn()
+        await self.set_service_time(0.015)
+        tasks = [self.start_call(1), self.start_call(2)]
+        await self.run_pending()
         began = now()
-        self.assertIsInstance(await self.waiting_call(3, 0.08), NotRun)
+        self.assertIsInstance(await self.start_call_with_objective(3, 0.08), NotRun)
         self.assertLess(now() - began, 0.4)
         for task in tasks:
             task.cancel()
 
-    def fatal(self, number, request=5, last=True):
+    def call_of_request(self, number, request=5, last=True):
         call = Call(number, "n", "r", "s", "GET", "/", [], b"", deadline_after(5), True)
         call.fingerprint = Fingerprint(request, 1)
         call.queue_until = call.deadline
@@ -578,10 +583,12 @@
     async def test_call_whose_request_is_quarantined_while_it_waits_does_not_start(self):
         # A request that ends servers waits here for a slot while its third server
         # ends elsewhere.  It must not be given the slot that becomes free.
-        busy = [asyncio.create_task(self.owner.run(self.fatal(n, request=9))) for n in (1, 2)]
-        await self.turn()
-        waiting = asyncio.create_task(self.owner.run(self.fatal(3)))
-        await self.turn()
+        busy = [
+            asyncio.create_task(self.owner.run(self.call_of_request(n, request=9))) for n in (1, 2)
+        ]
+        await self.run_pending()
+        waiting = asyncio.create_task(self.owner.run(self.call_of_request(3)))
+        await self.run_pending()
         for number in range(3):
             self.suspects.note_end(number, [Fingerprint(5, 1)])
         self.client.answer(1)
@@ -590,25 +597,27 @@
         self.assertIsInstance(await waiting, NotRun)
         self.assertEqual(self.client.started, [1, 2])
 
-    async def test_two_grave_suspects_are_not_at_work_at_once(self):
+    async def test_two_requests_suspected_of_two_crashes_do_not_run_at_once(self):
         # A bystander of two ends, beside the culprit once more, would have three.
         for number in range(2):
             self.suspects.note_end(number, [Fingerprint(5, 1), Fingerprint(6, 1)])
-        first = asyncio.create_task(self.owner.run(self.fatal(1)))
-        await self.turn()
-        second = await self.owner.run(self.fatal(2, request=6))
+        first = asyncio.create_task(self.owner.run(self.call_of_request(1)))
+        await self.run_pending()
+        second = await self.owner.run(self.call_of_request(2, request=6))
         self.assertEqual(second.reason, "another suspect is at work")
         self.client.answer(1)
-        self.assertEqual(await first, GOOD)
-        third = asyncio.create_task(self.owner.run(self.fatal(3, request=6)))
-        await self.turn()
+        self.assertEqual(await first, OK_ANSWER)
+        third = asyncio.create_task(self.owner.run(self.call_of_request(3, request=6)))
+        await self.run_pending()
         self.client.answer(3)
-        self.assertEqual(await third, GOOD)
+        self.assertEqual(await third, OK_ANSWER)
 
-    async def test_end_of_the_server_is_told_with_the_calls_that_were_at_work(self):
+    async def test_crash_is_charged_to_the_calls_that_were_running(self):
         self.client.listening = False
-        tasks = [asyncio.create_task(self.owner.run(self.fatal(n, request=n))) for n in (1, 2)]
-        await self.turn()
+        tasks = [
+            asyncio.create_task(self.owner.run(self.call_of_request(n, request=n))) for n in (1, 2)
+        ]
+        await self.run_pending()
         for number in (1, 2):
             self.client.answer(number, BackendError("connection closed", step="answer"))
         outcomes = await asyncio.gather(*tasks)
@@ -616,19 +625,19 @@
         self.assertEqual(len({outcome.end for outcome in outcomes} - {0}), 1)
         self.assertEqual([self.suspects.count(Fingerprint(n, 1)) for n in (1, 2)], [1, 1])
 
-    async def test_server_that_ended_gets_no_calls_until_another_start_is_listed(self):
+    async def test_crashed_server_gets_no_calls_until_its_successor_is_listed(self):
         # Its port refuses connections, then another start answers there that the
         # list does not name yet.  Calls are refused without being sent.
         self.owner.assign("i-1", "s")
         self.client.listening = False
-        task = asyncio.create_task(self.owner.run(self.fatal(1)))
-        await self.turn()
+        task = asyncio.create_task(self.owner.run(self.call_of_request(1)))
+        await self.run_pending()
         self.client.answer(1, BackendError("connection closed", step="answer"))
         await task
         self.assertEqual(self.owner.state, ServerState.DOWN)
         self.owner.note_instance("i-2")
         self.owner.set_health(ServerState.WARM)
-        self.assertIsInstance(await self.owner.run(self.fatal(2)), NotRun)
+        self.assertIsInstance(await self.owner.run(self.call_of_request(2)), NotRun)
         self.owner.assign("i-2", "s")
         self.assertEqual(self.owner.state, ServerState.WARM)
 
@@ -639,14 +648,14 @@
         self.owner.note_instance("i-1")
         self.assertEqual(self.owner.state, ServerState.WARM)
 
-    async def test_lost_answer_of_a_server_that_lives_blames_nobody(self):
-        task = asyncio.create_task(self.owner.run(self.fatal(1)))
-        await self.turn()
+    async def test_lost_answer_of_a_live_server_is_charged_to_nobody(self):
+        task = asyncio.create_task(self.owner.run(self.call_of_request(1)))
+        await self.run_pending()
         self.client.answer(1, BackendError("connection closed", step="answer"))
         self.assertEqual((await task).end, 0)
         self.assertEqual(self.suspects.count(Fingerprint(5, 1)), 0)
 
-    async def test_other_slots_begin_anew(self):
+    async def test_change_of_slots_resets_the_limit(self):
         self.owner.resize(20)
         self.assertEqual(self.owner.load.limit, 22)
         self.owner.resize(10)
@@ -661,20 +670,20 @@
             limits.append(owner.load.limit)
         self.assertEqual(limits, [1, 2, 4, 8, 8, 14, 240])
 
-    def waiting_call(self, number, objective_seconds):
+    def start_call_with_objective(self, number, objective_seconds):
         call = Call(number, "n", "r", "s", "POST", "/", [], b"", deadline_after(5), False)
         call.queue_until = call.deadline
         call.last = True
         call.objective_at = deadline_after(objective_seconds)
         return asyncio.create_task(self.owner.run(call))
 
-    async def learn_time(self, seconds):
+    async def set_service_time(self, seconds):
         """Let calls of the route take `seconds`."""
         times = self.owner._times
         for _ in range(30):
             times._learn_route("", seconds)
 
-    async def test_first_calls_do_not_shrink_the_limit(self):
+    async def test_slow_first_calls_do_not_lower_the_limit(self):
         # An owner that has just started guesses 20 ms; its first calls take
         # twenty times as long.  They are usual, not slow, and all slots stay
         # in use: callers came back to half of a server after each restart.
@@ -683,8 +692,8 @@
             tasks = []
             for number in range(100, 140):
                 self.client.clock += 0.2
-                tasks.append(self.begin(number))
-                await self.turn()
+                tasks.append(self.start_call(number))
+                await self.run_pending()
                 if number >= 102:
                     self.client.answer(number - 2)
             self.assertEqual(self.owner.load.limit, 22)
@@ -696,11 +705,13 @@
         # of them at 64 kB each would take a gigabyte.
         body = bytes(60 * 1024)
         for number in range(400):
-            task = self.begin(number)
-            await self.turn()
+            task = self.start_call(number)
+            await self.run_pending()
             self.client.answer(number, Answered(200, "OK", [], body))
             await task
-        kept = [await self.owner.revoke("n", number, self.later) for number in range(400)]
+        kept = [
+            await self.owner.revoke("n", number, self.sent_after_start) for number in range(400)
+        ]
         held = sum(len(o.body) for o in kept if isinstance(o, Answered))
         self.assertLessEqual(held, 16 * 1024 * 1024)
         self.assertGreater(held, 0)
--- a/caperstack/admission/tests/test_queue.py
+++ b/caperstack/admission/tests/test_queue.py
@@ -21,14 +21,14 @@
         call.objective_at = self.clock + objective
         return call
 
-    async def test_order(self):
+    async def test_in_time_then_critical_then_urgent_calls_start_first(self):
         # In time before late, then critical, then urgent.
         for number, objective, criticality in ((1, 0.1, 2), (2, 0.9, 1), (3, 0.6, 1), (4, 0.9, 2)):
             self.queue.add(self.call(number, objective, criticality), service_seconds=0.2)
         started = [self.queue.admit_next().id for _ in range(4)]
         self.assertEqual(started, [4, 3, 2, 1])
 
-    async def test_short_call_is_not_put_behind_for_being_late(self):
+    async def test_late_short_call_is_not_ranked_behind_longer_ones(self):
         # A booking runs elsewhere and waits for a check of 55 ms that is late
         # already; behind work of 550 ms it would be refused, and the booking
         # would fail with it.
@@ -38,13 +38,13 @@
         self.assertEqual(self.queue.ahead_of(self.call(3, 0.05), service_seconds=0.055), 1)
         self.assertEqual(self.queue.admit_next().id, 2)
 
-    async def test_held_calls_let_others_pass(self):
+    async def test_deferred_calls_do_not_block_others(self):
         self.queue.add(self.call(1))
         self.queue.add(self.call(2))
         self.assertEqual(self.queue.admit_next(lambda call: call.id == 1).id, 2)
         self.assertIsNone(self.queue.admit_next(lambda call: call.id == 1))
 
-    async def test_full_queue_displaces_the_last(self):
+    async def test_full_queue_displaces_a_less_critical_call(self):
         queue = AdmissionQueue(1)
         low = queue.add(self.call(1, criticality=0))
         self.assertFalse(queue.evict_for(self.call(2, criticality=0)))
--- a/caperstack/admission/tests/test_slowdown.py
+++ b/caperstack/admission/tests/test_slowdown.py
@@ -22,7 +22,7 @@
             self.clock += 0.08
             self.changed = self.pace.record_reading(pace)
 
-    def test_visit_of_a_neighbour_is_told_from_a_cold_start(self):
+    def test_slow_phase_is_distinguished_from_a_cold_start(self):
         # A server starts and is twice as slow for seconds; a neighbour makes
         # that eight times.  Only the neighbour's visit is worth waiting for.
         self.record_reading(*[2.0] * 10, 8.0)
@@ -31,7 +31,7 @@
         self.assertFalse(self.pace.slowed)
         self.assertEqual(self.pace.baseline, 2.0)
 
-    def test_first_reading_in_a_visit_is_no_measure(self):
+    def test_first_reading_in_a_slow_phase_of_a_cold_server_is_no_baseline(self):
         # All nodes start together, one in four hosts is being visited at that
         # moment, and its server is cold.  Taken for usual, eight times the
         # cost fills the slots with calls that run into their deadlines.
@@ -40,20 +40,20 @@
         self.record_reading(2.0)
         self.assertFalse(self.pace.slowed)
 
-    def test_first_reading_of_a_warm_host_in_a_visit(self):
+    def test_first_reading_in_a_slow_phase_of_a_warm_host_is_no_baseline_yet(self):
         self.record_reading(4.0)
         self.assertTrue(self.pace.slowed)
         self.record_reading(*[4.0] * 16)
         self.assertFalse(self.pace.slowed)
 
-    def test_what_lasts_becomes_usual(self):
+    def test_lasting_slowdown_becomes_the_baseline(self):
         self.record_reading(1.0, *[4.0] * 5)
         self.assertTrue(self.pace.slowed)
         self.record_reading(*[4.0] * 15)
         self.assertFalse(self.pace.slowed)
 
     @given(st.lists(st.tuples(st.floats(0.01, 0.5), st.floats(0.5, 9.0)), min_size=1))
-    def test_usual_is_the_lowest_reading_of_the_span(self, readings):
+    def test_baseline_is_the_lowest_reading_of_the_window(self, readings):
         pace = HostSlowdown()
         told = []
         for gap, value in readings:
@@ -64,13 +64,13 @@
         watched = self.clock - told[0][0] >= BASELINE_SECONDS
         self.assertEqual(pace.baseline, lowest if watched else min(lowest, MAX_INITIAL_BASELINE))
 
-    def test_only_changes_are_news(self):
+    def test_only_large_changes_are_reported(self):
         self.record_reading(1.0, 1.1)
         self.assertFalse(self.changed)
         self.record_reading(4.0)
         self.assertTrue(self.changed)
 
-    def test_new_instance_starts_anew(self):
+    def test_new_instance_discards_old_readings(self):
         self.record_reading(1.0, 1.0)
         self.pace.restart()
         self.record_reading(2.0)
