--- a/caperstack/admission/tests/test_cold.py
+++ b/caperstack/admission/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""What a cold backend server gets: the limit by itself, and the owner under a load."""
+"""Tests of the rate limit for cold backend servers, alone and in an owner under load."""
 
 import asyncio
 import random
@@ -17,17 +17,17 @@
 from caperstack.play.virtual import run_virtual
 from caperstack.quarantine.suspects import Suspects
 
-#: What a cold server bears in a second in these tests.
+#: Calls per second that a cold server sustains in these tests.
 BOUND = 17.75
 
 
 def max_starts_in_a_second(starts):
-    """Return the most of the points `starts` that lie within one second."""
+    """Return the greatest number of `starts` within any one second."""
     return max((sum(1 for s in starts if 0 <= s - first <= 1.0) for first in starts), default=0)
 
 
 class TestColdLimit(unittest.TestCase):
-    """`ColdLimit` on a clock that the test moves."""
+    """`ColdLimit` with a clock controlled by the test."""
 
     def setUp(self):
         self.time = 1000.0
@@ -37,7 +37,7 @@
         self.time += WINDOW_SECONDS
 
     def start_all(self, seconds, gap, set_remaining=lambda: None):
-        """Start whenever the limit allows for `seconds`; return the points."""
+        """Start a call whenever the limit allows, for `seconds`; return the times."""
         starts = []
         until = self.time + seconds
         while self.time < until:
@@ -61,7 +61,7 @@
         self.assertGreater(len(starts), 5 * 0.85 * BOUND)
 
     def test_server_that_turns_cold_is_not_overloaded(self):
-        """A warm server gets 40 calls a second, turns cold, and is told from before."""
+        """A warm server gets 40 calls a second and turns cold: earlier starts count."""
         self.limit.set_remaining(0.0)
         cold_at = self.time + 2.0
         starts = self.start_all(
@@ -71,7 +71,7 @@
         self.assertLessEqual(max_starts_in_a_second(cold), BOUND)
 
     def test_server_that_turns_cold_again_is_not_overloaded(self):
-        """A server is to be warm by now and has turned cold again: it gets two shares at once."""
+        """A server due to be warm has turned cold again: it would get twice the bound."""
         end = self.time + 0.1
         starts = self.start_all(
             0.1, 0.001, lambda: self.limit.set_remaining(max(0.001, end - self.time))
@@ -87,14 +87,14 @@
         self.assertFalse(self.limit.cold)
 
     def test_server_without_reports_for_long_counts_as_cold(self):
-        """The health path hangs while calls are answered; the server turned cold meanwhile."""
+        """The health path hangs while calls are answered, and the server turns cold."""
         self.limit.set_remaining(0.0)
         starts = self.start_all(3.0, 0.001)
         self.assertLessEqual(max_starts_in_a_second(starts[-20:]), BOUND)
         self.assertTrue(self.limit.report_due)
 
     def test_calls_sent_by_the_previous_process_count(self):
-        """A node starts anew beside a cold server that its last process has just sent to."""
+        """A node restarts beside a cold server to which its previous process just sent calls."""
         limit = ColdLimit()
         limit.resize(BOUND)
         limit.set_remaining(10.0)
@@ -103,7 +103,7 @@
         self.assertEqual(limit.wait(), 0.0)
 
     def test_server_that_turned_cold_after_process_start_has_no_unknown_calls(self):
-        """All lose power, start together, and callers are refused though nobody has sent."""
+        """After a power failure all start together: calls are refused though none were sent."""
         limit = ColdLimit()
         limit.resize(BOUND, 3.0)
         self.time += 0.3
@@ -145,7 +145,7 @@
 
 
 class FakeServer:
-    """Answers each call after a time."""
+    """Backend server that answers each call after a fixed time."""
 
     def __init__(self, seconds):
         self._seconds = seconds
@@ -157,14 +157,14 @@
         return Answered(200, "OK", [], b"")
 
     def restart(self):
-        """Nothing is kept."""
+        """Do nothing, since no state is kept."""
 
 
 class TestOwner(unittest.TestCase):
-    """`Owner` of a cold server in virtual time, with calls in a stream."""
+    """`Owner` of a cold server in virtual time, with Poisson arrivals."""
 
     def play(self, per_second, seconds, cold_for, work=0.06):
-        """Return the server, and when each call ended, with its outcome."""
+        """Return the server, and for each call its outcome, duration and start."""
         rng = random.Random(1)
         ended = []
 
@@ -213,9 +213,9 @@
         return run_virtual(played), ended
 
     def test_cold_server_is_not_overloaded_and_excess_calls_are_refused_at_once(self):
-        """Twice the calls that a cold server bears: it ends, or callers wait for their deadline.
+        """At twice the sustained rate, the server crashes or callers wait until their deadline.
 
-        Without the limit it gets 34 in a second where it bears 17.
+        Without the limit it gets 34 calls in a second and sustains 17.
         """
         server, ended = self.play(34.0, 3.0, 10.0)
         self.assertLessEqual(max_starts_in_a_second(server.starts), BOUND)
--- a/caperstack/admission/tests/test_knee.py
+++ b/caperstack/admission/tests/test_knee.py
@@ -1,4 +1,4 @@
-"""The limit that is learnt from work times."""
+"""Tests of the concurrency limit that is learnt from service times."""
 
 import random
 import unittest
@@ -9,7 +9,7 @@
 
 
 class OverloadedServer:
-    """A server with more calls than slots, which slows down beyond a share of its slots."""
+    """Overloaded server that slows down when more than a share of its slots is in use."""
 
     def __init__(self, slots, share, seed=1):
         self.slots = slots
@@ -21,23 +21,23 @@
         return SLOWDOWN_BEYOND_KNEE if concurrency > self._free else 1.0
 
     def throughput(self, concurrency):
-        """Return what the server gets done with so many at once."""
+        """Return the relative throughput at the given concurrency."""
         return concurrency / self.slowdown(concurrency)
 
     def run(self, knee, starts, drift=None):
-        """Start calls as `knee` allows; `drift(n)` slows the n-th start whatever its number."""
+        """Start calls as `knee` allows; ``drift(n)`` is an additional slowdown of start n."""
         for number in range(starts):
             concurrency = knee.allowed()
             knee.record_start()
             slow = drift(number) if drift else 1.0
             time = slow * self.slowdown(concurrency) * self._rng.lognormvariate(-0.045, 0.3)
             knee.record_time(concurrency, time / self._baseline)
-            # The usual time of the route follows what is measured.
+            # The baseline of the route follows the measured times.
             self._baseline += 0.01 * (time - self._baseline)
 
 
 class TestKnee(unittest.TestCase):
-    """`Knee` on servers that slow down at half, most, nearly all or none of their slots."""
+    """`Knee` with servers that slow down beyond 50, 80, 95 or 100 % of their slots."""
 
     def learnt(self, slots, share, starts=60_000, drift=None):
         knee = Knee(slots, max(1, int(0.8 * slots + 1e-9)))
@@ -46,7 +46,7 @@
         return knee, load
 
     def test_learnt_limit_is_near_the_optimum(self):
-        # At least 0.93 of what the best fixed limit gets done, wherever the slope is.
+        # At least 0.93 of the throughput of the best fixed limit, wherever the knee is.
         for slots in (3, 6, 11, 18, 300):
             for share in (0.8, 0.95, 1.0):
                 knee, load = self.learnt(slots, share)
@@ -60,13 +60,13 @@
             self.assertGreaterEqual(load.throughput(knee.limit), first, slots)
 
     def test_work_slowed_by_other_causes_does_not_move_the_limit(self):
-        # All calls take three times as long for a while, since calls of their
-        # own wait elsewhere: that is no sign of too many at once.
+        # All calls take three times as long for a while, since their nested calls wait
+        # elsewhere.  That is no sign of too high a concurrency.
         knee, _ = self.learnt(11, 0.8, drift=lambda number: 3.0 if number // 500 % 2 else 1.0)
         self.assertEqual(knee.limit, 8)
 
     def test_limit_above_the_knee_is_lowered_within_600_starts(self):
-        # The limit stands above the slope: a few hundred starts mend it.
+        # A limit above the knee is lowered within a few hundred starts.
         knee = Knee(11, 9)
         OverloadedServer(11, 0.8).run(knee, 600)
         self.assertEqual(knee.limit, 8)
--- a/caperstack/admission/tests/test_limit.py
+++ b/caperstack/admission/tests/test_limit.py
@@ -1,4 +1,4 @@
-"""Service times of a backend server, and what stands in for them at first."""
+"""Tests of the service times of a backend server and of their initial estimates."""
 
 import unittest
 from unittest import mock
@@ -8,7 +8,7 @@
 
 
 class TestServiceTimes(unittest.TestCase):
-    """`ServiceTimes` with a clock that the test moves."""
+    """`ServiceTimes` with a clock controlled by the test."""
 
     def setUp(self):
         self.clock = 100.0
@@ -43,9 +43,9 @@
         self.assertAlmostEqual(self.times.baseline, 0.05)
 
     def test_few_long_calls_do_not_make_the_normal_ones_short(self):
-        # Listings of 220 ms fill the slots of a server, and one call in twenty
-        # takes two seconds.  Were listings short beside these, they would go
-        # by arrival under overload, and each would be late.
+        # Listings of 220 ms fill the slots of a server, and one call in twenty takes two
+        # seconds.  If listings counted as short beside these, they would not be ranked by
+        # lateness under overload, and all of them would be late.
         for number in range(400):
             self.answer(2.0 if number % 20 == 0 else 0.22)
         self.assertGreater(0.22, 0.28 * self.times.median_slot_seconds)
--- a/caperstack/admission/tests/test_owner.py
+++ b/caperstack/admission/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""The owner's decision, with a backend server that is told when to answer."""
+"""Tests of the owner with a fake backend server whose answers the test controls."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
 
 
 class FakeClient:
-    """Holds each call until it is told to answer."""
+    """Client that holds each call until the test answers it."""
 
     def __init__(self):
         self.running = {}
@@ -85,10 +85,9 @@
             await asyncio.sleep(0)
 
     async def test_first_calls_that_cannot_start_in_time_are_refused(self):
-        # All nodes were killed and start with no memory; callers return at
-        # once.  Their objective of 0.6 s tells that work takes some 0.2 s, so
-        # two slots can start seven more calls before these are hopeless.  The
-        # others hear at once that they have not run.
+        # After a restart of all nodes, callers retry at once and no service time is known.
+        # An objective of 0.6 s gives an estimate of some 0.2 s, so that two slots can start
+        # seven more calls in time; the others must be refused at once.
         tasks = []
         for number in range(1, 31):
             call = Call(number, "n", "r", "s", "GET", "/", [], b"", deadline_after(2.0), True)
@@ -105,7 +104,7 @@
             task.cancel()
 
     async def test_call_without_its_body_is_not_run_and_releases_its_slot(self):
-        """The entry that keeps the body is gone: the call runs without it, or a slot is lost."""
+        """The entry with the body is lost: the call runs without it, or its slot leaks."""
 
         async def lost(_limit):
             raise PeerError("connection lost", step="body")
@@ -119,7 +118,7 @@
         self.assertEqual((self.client.started, self.owner.idle), ([], True))
 
     async def test_body_is_fetched_only_when_the_call_starts(self):
-        """A call that waits for a slot has its body sent though it may never run."""
+        """A waiting call has its body transferred although it may never run."""
         brought = []
 
         async def fetch(_limit):
@@ -140,7 +139,7 @@
         await asyncio.gather(*running)
 
     async def test_evacuated_zone_refuses_new_and_waiting_calls_and_lets_running_ones_end(self):
-        """A zone is evacuated: calls go on starting there, or running work is lost."""
+        """Calls continue to start in an evacuated zone, or running calls are lost."""
         running = [self.start_call(number) for number in (1, 2)]
         waiting = self.start_call(3)
         await self.run_pending()
@@ -160,9 +159,8 @@
         self.assertEqual(await again, OK_ANSWER)
 
     async def test_calls_wait_for_the_first_reading_of_the_slowdown(self):
-        # An owner starts in the middle of a neighbour's visit and gets calls
-        # before it has asked how long work takes.  Run at eight times its cost
-        # a booking is cut off at its deadline.
+        # An owner starts during a slow phase of its host and gets calls before the first
+        # reading.  At eight times its cost, a booking would be cut off at its deadline.
         self.owner.expect_slowdown()
         self.assertIsInstance(await self.start_call(1), NotRun)
         waiting = self.start_last_call(2)
@@ -174,9 +172,9 @@
         self.assertEqual(await waiting, OK_ANSWER)
 
     async def test_call_with_short_deadline_waits_for_the_first_reading(self):
-        # A node has just started; a caller's route is over in 150 ms.  The
-        # reading takes a millisecond as a rule, and refused for the length of a
-        # visit that nobody has seen the caller would get 503 from a free server.
+        # A node has just started and a call has 150 ms left.  A reading usually takes a
+        # millisecond; if the expected wait were that of a slow phase, which nobody has
+        # observed, the call would be refused with 503 by a free server.
         self.owner.expect_slowdown()
         waiting = self.start_last_call(1, seconds=0.15)
         await self.run_pending()
@@ -187,9 +185,9 @@
         self.assertEqual(await waiting, OK_ANSWER)
 
     async def test_slowdown_is_queried_before_a_call_starts_on_an_old_reading(self):
-        # A neighbour takes the host just after a reading.  A booking that
-        # starts before the next one needs four times as long and is late; a
-        # question of a millisecond before the start sends it elsewhere.
+        # A slow phase begins just after a reading.  A booking that starts before the next
+        # reading takes four times as long and is late; a query of a millisecond before the
+        # start redirects it to another server.
         asked = []
 
         async def refresh():
@@ -221,10 +219,9 @@
         self.assertEqual(await waiting, OK_ANSWER)
 
     async def test_waiting_call_is_not_run_by_another_service(self):
-        # An inquiry waits for a slot. Meanwhile the address of the backend
-        # server goes to one of another service, and the list tells both at
-        # once.  The new server takes what is sent to it by name, and would run
-        # the inquiry.
+        # While an inquiry waits for a slot, the server's address passes to a server of
+        # another service; the list shows both changes at once.  The new server accepts any
+        # call addressed to its instance, and would run the inquiry.
         self.owner.assign("i1", "s")
         tasks = [self.start_call(1), self.start_call(2), self.start_call(3)]
         await self.run_pending()
@@ -237,9 +234,9 @@
         self.assertIsInstance(await tasks[2], NotRun)
 
     async def test_restart_under_the_same_name_inherits_no_calls(self):
-        # A backend server ends with two bookings at work and one that waits,
-        # and starts again under its name.  The one that waits goes elsewhere at
-        # once; the two that ran end as unknown, never as not run.
+        # A backend server crashes with two bookings running and one waiting, and restarts
+        # under its name.  The waiting one must be refused at once; the two that ran must end
+        # as unknown, never as not run.
         self.owner.assign("i1", "s", 1000)
         tasks = [self.start_call(1), self.start_call(2), self.start_call(3)]
         await self.run_pending()
@@ -311,8 +308,8 @@
         self.assertTrue(self.owner.idle)
 
     async def test_call_revoked_before_its_arrival_does_not_run(self):
-        # The entry lost its connection and asks over a new one; the call still
-        # lies in the old one's buffer and is read later.  It must not run then.
+        # The entry lost its connection and revokes the call over a new one, while the call is
+        # still in the old connection's buffer.  It must not run when it is read later.
         self.assertIsInstance(await self.owner.revoke("n", 7, self.sent_after_start), NotRun)
         self.assertIsInstance(await self.start_call(7), NotRun)
         self.assertEqual(self.client.started, [])
@@ -337,14 +334,14 @@
         self.assertEqual(await self.owner.revoke("n", 1, self.sent_after_start), OK_ANSWER)
 
     async def test_outcome_of_a_call_sent_before_the_owner_started_is_unknown(self):
-        # An owner is killed with a booking running, starts again and is asked
-        # how the booking ended.  It never heard of it, which proves nothing.
+        # An owner that was killed with a booking running has no record of it after its
+        # restart, which does not prove that the booking did not run.
         before = deadline_after(-1.0)
         self.assertIsInstance(await self.owner.revoke("n", 7, before), Unknown)
 
     async def test_outcome_of_a_call_whose_record_was_evicted_is_unknown(self):
-        # A booking ran, its answer was lost, and the record was dropped to
-        # make room before the entry could ask.
+        # A booking ran and its answer was lost; its record was evicted to make room before
+        # the entry asked for the outcome.
         with mock.patch("caperstack.admission.memory.MAX_RECORDS", 3):
             sent = deadline_after(0.06)
             await asyncio.sleep(0.1)
@@ -364,10 +361,9 @@
         self.assertEqual(await task, OK_ANSWER)
 
     async def test_concurrent_calls_of_two_entries_may_share_a_number(self):
-        # Two nodes start in the same microsecond and number their calls from
-        # the same point.  Both calls run here at once; when the second ended,
-        # the owner failed on the first one's time and told "unknown" of a
-        # booking that was answered.
+        # Two nodes that start in the same microsecond number their calls alike, and both calls
+        # run here concurrently.  Times recorded by number alone made the owner fail at the end
+        # of the second call and report "unknown" for a booking that was answered.
         async def fetch(call, instance=""):
             await asyncio.sleep(0.01)
             return OK_ANSWER
@@ -423,15 +419,16 @@
         self.assertEqual(await last, OK_ANSWER)
 
     async def test_server_that_fails_like_the_others_keeps_running_calls(self):
-        # Checks that the work of all servers of a service makes fail elsewhere;
-        # each of them answers errors.  Refused here, calls would find the
-        # others full, and this one would stand idle.
+        # Nested calls of all servers of a service fail elsewhere, so that each server answers
+        # errors.  With an open circuit breaker this server would be idle while the others
+        # are full.
         self.others = [self.server(host, 0.8, 10) for host in "abc"]
         outcomes = [await self.run_failing_call(number) for number in range(30)]
         self.assertFalse(any(isinstance(outcome, NotRun) for outcome in outcomes))
 
     async def test_servers_without_load_report_do_not_count_as_healthy(self):
-        # The same in a service of fifty servers, of which this node calls three.
+        # As in the test before, with fifty further servers of which this node has no load
+        # report.  Counted as healthy, they would make the circuit breaker open.
         self.others = [self.server(host, 0.8, 10) for host in "abc"]
         self.others += [self.server(f"far-{number}", 0.0, None) for number in range(50)]
         outcomes = [await self.run_failing_call(number) for number in range(30)]
@@ -455,9 +452,8 @@
         return asyncio.create_task(self.owner.run(call))
 
     async def test_call_is_deferred_while_the_host_is_slowed(self):
-        # A neighbour takes the host for 300 ms.  A listing that started now
-        # would need four times as long to its end; it starts when the
-        # neighbour has gone, and the caller has it sooner.
+        # In a slow phase of 300 ms, a listing would take four times as long to its end; it
+        # ends sooner if it starts after the phase.
         await self.set_service_time(0.3)
         self.owner.set_slowdown(1.0)
         self.owner.set_slowdown(4.0)
@@ -490,15 +486,15 @@
             self.assertEqual(await lasting, OK_ANSWER)
 
     async def test_call_with_too_little_time_left_is_refused_at_once(self):
-        # A listing comes back with 100 ms left; it takes 300.  Run, it would
-        # end at its deadline with nothing for its caller, and hold a slot.
+        # A listing that takes 300 ms is retried with 100 ms left.  It would reach its deadline
+        # without an answer and occupy a slot.
         await self.set_service_time(0.3)
         self.assertIsInstance(await self.start_call(1, seconds=0.1), NotRun)
         self.assertEqual(self.client.started, [])
 
     async def test_calls_that_can_be_in_time_start_before_late_ones(self):
-        # After an outage callers who have waited too long come back before
-        # new ones.  In the order of arrival all would be late.
+        # After an outage, retries of calls that are already late arrive before new calls.  In
+        # order of arrival all of them would be late.
         await self.set_service_time(0.2)
         tasks = [self.start_call(1), self.start_call(2)]
         await self.run_pending()
@@ -511,9 +507,8 @@
             task.cancel()
 
     async def test_call_that_cannot_be_in_time_is_refused_at_once(self):
-        # In an overload a call comes whose objective is over.  It is told so
-        # now, not when its five seconds are over, and takes no place in the
-        # queue from those that can be in time.
+        # In an overload, a call past its objective must be refused at once rather than at its
+        # deadline of five seconds, and must not occupy the queue of calls still in time.
         tasks = [self.start_call(1), self.start_call(2)]
         await self.run_pending()
         late = self.start_call_with_objective(3, 0.0)
@@ -525,7 +520,7 @@
             task.cancel()
 
     async def test_late_call_refused_for_lack_of_a_slot_gets_a_long_retry_delay(self):
-        """Callers return at once, are refused each time and give up before there is room."""
+        """Callers retry at once, are refused each time and give up before a slot is free."""
         await self.set_service_time(0.05)
         tasks = [self.start_call(1), self.start_call(2)]
         await self.run_pending()
@@ -560,10 +555,10 @@
         running.cancel()
 
     async def test_nested_call_that_cannot_be_in_time_is_refused_early(self):
-        # A lookup runs at another service and waits for a check here that takes
-        # 15 ms of the 80 it has.  All slots are taken.  The check is refused
-        # when it can't be in time any more, so that the lookup ends and frees
-        # its slot, not 200 ms later with the deadline of both.
+        # A lookup at another service waits for a nested check here that takes 15 ms and has
+        # 80 ms, while all slots are taken.  The check must be refused once it cannot be in
+        # time, so that the lookup ends and frees its slot, not 200 ms later at the deadline
+        # of both.
         await self.set_service_time(0.015)
         tasks = [self.start_call(1), self.start_call(2)]
         await self.run_pending()
@@ -581,8 +576,8 @@
         return call
 
     async def test_call_whose_request_is_quarantined_while_it_waits_does_not_start(self):
-        # A request that ends servers waits here for a slot while its third server
-        # ends elsewhere.  It must not be given the slot that becomes free.
+        # A request that crashes servers waits here for a slot while the third server crashes
+        # elsewhere.  It must not get the slot that becomes free.
         busy = [
             asyncio.create_task(self.owner.run(self.call_of_request(n, request=9))) for n in (1, 2)
         ]
@@ -598,7 +593,8 @@
         self.assertEqual(self.client.started, [1, 2])
 
     async def test_two_requests_suspected_of_two_crashes_do_not_run_at_once(self):
-        # A bystander of two ends, beside the culprit once more, would have three.
+        # An innocent request that ran during two crashes would be charged with a third if it
+        # ran beside the culprit once more.
         for number in range(2):
             self.suspects.note_end(number, [Fingerprint(5, 1), Fingerprint(6, 1)])
         first = asyncio.create_task(self.owner.run(self.call_of_request(1)))
@@ -626,8 +622,8 @@
         self.assertEqual([self.suspects.count(Fingerprint(n, 1)) for n in (1, 2)], [1, 1])
 
     async def test_crashed_server_gets_no_calls_until_its_successor_is_listed(self):
-        # Its port refuses connections, then another start answers there that the
-        # list does not name yet.  Calls are refused without being sent.
+        # The port refuses connections, then another instance answers there that is not
+        # listed yet.  Calls must be refused without being sent.
         self.owner.assign("i-1", "s")
         self.client.listening = False
         task = asyncio.create_task(self.owner.run(self.call_of_request(1)))
@@ -662,8 +658,8 @@
         self.assertEqual(self.owner.load.limit, 11)
 
     async def test_slots_are_rounded_down(self):
-        # With 9 of 11 calls at once a server is slower by more than the ninth
-        # slot brings; a share of 0.8 is to keep it from there.
+        # With 9 of 11 slots in use a server slows down by more than the ninth slot gains; a
+        # share of 0.8 must not round up to 9.
         limits = []
         for slots in (1, 3, 5, 10, 11, 18, 300):
             owner = Owner(SimpleNamespace(slots=slots, slots_share=0.8), self.client)
@@ -678,15 +674,15 @@
         return asyncio.create_task(self.owner.run(call))
 
     async def set_service_time(self, seconds):
-        """Let calls of the route take `seconds`."""
+        """Make `seconds` the known service time of the route."""
         times = self.owner._times
         for _ in range(30):
             times._learn_route("", seconds)
 
     async def test_slow_first_calls_do_not_lower_the_limit(self):
-        # An owner that has just started guesses 20 ms; its first calls take
-        # twenty times as long.  They are usual, not slow, and all slots stay
-        # in use: callers came back to half of a server after each restart.
+        # A new owner assumes 20 ms, and its first calls take some twenty times as long.  That is
+        # normal rather than slow; otherwise only half of the slots were used after each
+        # restart.
         with mock.patch("caperstack.admission.limit.now", lambda: 1000.0 + self.client.clock):
             self.owner.resize(20)
             tasks = []
@@ -701,8 +697,8 @@
             task.cancel()
 
     async def test_kept_answers_are_bounded(self):
-        # Answers are kept for entries that lost their connection; thousands
-        # of them at 64 kB each would take a gigabyte.
+        # Answers are kept for entries that lost their connection; without a bound, thousands
+        # of 64 kB each would take up to a gigabyte.
         body = bytes(60 * 1024)
         for number in range(400):
             task = self.start_call(number)
--- a/caperstack/admission/tests/test_queue.py
+++ b/caperstack/admission/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""The owner's queue: its order, and how long a newcomer would wait."""
+"""Tests of the order and the bound of the owner's queue."""
 
 import unittest
 from unittest import mock
@@ -8,7 +8,7 @@
 
 
 class TestAdmissionQueue(unittest.IsolatedAsyncioTestCase):
-    """`AdmissionQueue` with a clock that the test moves."""
+    """`AdmissionQueue` with a clock controlled by the test."""
 
     def setUp(self):
         self.clock = 100.0
@@ -22,16 +22,15 @@
         return call
 
     async def test_in_time_then_critical_then_urgent_calls_start_first(self):
-        # In time before late, then critical, then urgent.
+        # Calls in time start before late ones, then the more critical, then the more urgent.
         for number, objective, criticality in ((1, 0.1, 2), (2, 0.9, 1), (3, 0.6, 1), (4, 0.9, 2)):
             self.queue.add(self.call(number, objective, criticality), service_seconds=0.2)
         started = [self.queue.admit_next().id for _ in range(4)]
         self.assertEqual(started, [4, 3, 2, 1])
 
     async def test_late_short_call_is_not_ranked_behind_longer_ones(self):
-        # A booking runs elsewhere and waits for a check of 55 ms that is late
-        # already; behind work of 550 ms it would be refused, and the booking
-        # would fail with it.
+        # A booking runs elsewhere and waits for a nested check of 55 ms that is already late.
+        # Behind work of 550 ms the check would be refused, and the booking would fail with it.
         self.queue.short_seconds = 0.13
         self.queue.add(self.call(1, 1.5), service_seconds=0.55)
         self.queue.add(self.call(2, 0.04), service_seconds=0.055)
--- a/caperstack/admission/tests/test_slowdown.py
+++ b/caperstack/admission/tests/test_slowdown.py
@@ -1,4 +1,4 @@
-"""The pace of a host against what is usual for it."""
+"""Tests of the slowdown of a host against its baseline."""
 
 import unittest
 from unittest import mock
@@ -10,7 +10,7 @@
 
 
 class TestHostSlowdown(unittest.TestCase):
-    """`HostSlowdown` with a clock that the test moves."""
+    """`HostSlowdown` with a clock controlled by the test."""
 
     def setUp(self):
         self.clock = 100.0
@@ -23,8 +23,8 @@
             self.changed = self.pace.record_reading(pace)
 
     def test_slow_phase_is_distinguished_from_a_cold_start(self):
-        # A server starts and is twice as slow for seconds; a neighbour makes
-        # that eight times.  Only the neighbour's visit is worth waiting for.
+        # A server that has just started is twice as slow for seconds, and a noisy neighbour
+        # makes it eight times as slow.  Only the slow phase is worth waiting for.
         self.record_reading(*[2.0] * 10, 8.0)
         self.assertTrue(self.pace.slowed)
         self.record_reading(2.0)
@@ -32,9 +32,9 @@
         self.assertEqual(self.pace.baseline, 2.0)
 
     def test_first_reading_in_a_slow_phase_of_a_cold_server_is_no_baseline(self):
-        # All nodes start together, one in four hosts is being visited at that
-        # moment, and its server is cold.  Taken for usual, eight times the
-        # cost fills the slots with calls that run into their deadlines.
+        # All nodes start together, and one host in four is in a slow phase with a cold server.
+        # With that as the baseline, work at eight times its cost would fill the slots with
+        # calls that reach their deadlines.
         self.record_reading(8.0)
         self.assertTrue(self.pace.slowed)
         self.record_reading(2.0)
