--- a/caperstack/admission/tests/test_slowdown.py
+++ b/caperstack/admission/tests/test_slowdown.py
@@ -55,14 +55,18 @@
     @given(st.lists(st.tuples(st.floats(0.01, 0.5), st.floats(0.5, 9.0)), min_size=1))
     def test_baseline_is_the_lowest_reading_of_the_window(self, readings):
         pace = HostSlowdown()
-        told = []
+        readings_by_time = []
         for gap, value in readings:
             self.clock += gap
             pace.record_reading(value)
-            told.append((self.clock, value))
-        lowest = min(v for at, v in told if at >= self.clock - BASELINE_SECONDS or at == self.clock)
-        watched = self.clock - told[0][0] >= BASELINE_SECONDS
-        self.assertEqual(pace.baseline, lowest if watched else min(lowest, MAX_INITIAL_BASELINE))
+            readings_by_time.append((self.clock, value))
+        lowest = min(
+            v
+            for at, v in readings_by_time
+            if at >= self.clock - BASELINE_SECONDS or at == self.clock
+        )
+        settled = self.clock - readings_by_time[0][0] >= BASELINE_SECONDS
+        self.assertEqual(pace.baseline, lowest if settled else min(lowest, MAX_INITIAL_BASELINE))
 
     def test_only_large_changes_are_reported(self):
         self.record_reading(1.0, 1.1)
