--- a/caperstack/admission/cold.py
+++ b/caperstack/admission/cold.py
@@ -108,7 +108,7 @@
         if not self.cold:
             return 0.0
         moment = now()
-        starts = deque(self._counted(moment), maxlen=self.max_starts)
+        starts = deque(self._starts_in_window(moment), maxlen=self.max_starts)
         start = moment
         for _ in range(ahead + 1):
             if len(starts) == self.max_starts:
@@ -116,7 +116,7 @@
             starts.append(start)
         return start - moment
 
-    def _counted(self, moment):
+    def _starts_in_window(self, moment):
         """Return the times of the starts in the current window, the oldest first."""
         recent = [start for start in self._starts if start > moment - WINDOW_SECONDS]
         if moment < self._unknown_until:
--- a/caperstack/admission/limit.py
+++ b/caperstack/admission/limit.py
@@ -10,7 +10,7 @@
 
 #: Weight of one sample in the exponential averages of the recent service time and of the
 #: failure share.
-FAST_WEIGHT = 0.1
+SAMPLE_WEIGHT = 0.1
 
 #: Total of slot time, in seconds, beyond which the slot time recorded per route is halved:
 #: some 100 calls of 200 ms, or 400 of 50 ms.
@@ -66,7 +66,7 @@
 #: Service time assumed before the first call, in seconds, and the weight of each call's own
 #: estimate until the first answer.
 INITIAL_SECONDS = 0.02
-GUESS_WEIGHT = 0.2
+ESTIMATE_WEIGHT = 0.2
 
 
 class ServiceTimes:
@@ -150,7 +150,7 @@
         guess = guessed_seconds(call)
         if self.known or not guess:
             return
-        weight = GUESS_WEIGHT if self._seeded else 1.0
+        weight = ESTIMATE_WEIGHT if self._seeded else 1.0
         self._baseline += weight * (guess - self._baseline)
         self._seeded = True
 
@@ -211,7 +211,7 @@
         baseline = self.route_seconds(route)
         self._learn_route(route, elapsed)
         fast = elapsed if self._recent is None else self._decayed_average()
-        self._recent = fast + FAST_WEIGHT * (elapsed - fast)
+        self._recent = fast + SAMPLE_WEIGHT * (elapsed - fast)
         self._medium.add(elapsed)
         gap = self._medium.value - self._baseline
         seconds = now() - self._last_end
@@ -290,7 +290,7 @@
     def add(self, failed):
         """Record whether one more call failed."""
         self._added_at = now()
-        self._share += FAST_WEIGHT * (failed - self._share)
+        self._share += SAMPLE_WEIGHT * (failed - self._share)
 
 
 class AdaptiveLimit:
--- a/caperstack/admission/tests/test_slowdown.py
+++ b/caperstack/admission/tests/test_slowdown.py
@@ -17,8 +17,8 @@
         self.enterContext(mock.patch("caperstack.admission.slowdown.now", lambda: self.clock))
         self.pace = HostSlowdown()
 
-    def record_reading(self, *paces):
-        for pace in paces:
+    def record_reading(self, *slowdowns):
+        for pace in slowdowns:
             self.clock += 0.08
             self.changed = self.pace.record_reading(pace)
 
