--- a/caperstack/admission/limit.py
+++ b/caperstack/admission/limit.py
@@ -112,13 +112,13 @@
         A server that slows down answers late, so answers alone would reveal the slowdown
         late.  The age of running calls reveals it while they run.
         """
-        fast = self._decayed_average()
+        recent = self._decayed_average()
         if not self._started:
-            return fast
+            return recent
         moment = now()
         ages = sum((moment - start) / slowdown for start, slowdown, _ in self._started.values())
         ages /= len(self._started)
-        return max(fast, ages)
+        return max(recent, ages)
 
     @property
     def warmed_up(self):
@@ -147,11 +147,11 @@
 
     def seed(self, call):
         """Adjust the baseline to the estimate for `call`, until the first answer."""
-        guess = guessed_seconds(call)
-        if self.known or not guess:
+        estimate = guessed_seconds(call)
+        if self.known or not estimate:
             return
         weight = ESTIMATE_WEIGHT if self._seeded else 1.0
-        self._baseline += weight * (guess - self._baseline)
+        self._baseline += weight * (estimate - self._baseline)
         self._seeded = True
 
     def service_seconds(self, call):
@@ -210,8 +210,8 @@
             return 0.0
         baseline = self.route_seconds(route)
         self._learn_route(route, elapsed)
-        fast = elapsed if self._recent is None else self._decayed_average()
-        self._recent = fast + SAMPLE_WEIGHT * (elapsed - fast)
+        recent = elapsed if self._recent is None else self._decayed_average()
+        self._recent = recent + SAMPLE_WEIGHT * (elapsed - recent)
         self._medium.add(elapsed)
         gap = self._medium.value - self._baseline
         seconds = now() - self._last_end
--- a/caperstack/admission/slowdown.py
+++ b/caperstack/admission/slowdown.py
@@ -36,9 +36,9 @@
     Notes
     -----
     A server that has just started is twice as slow for seconds, and a noisy neighbour makes
-    it eight times as slow for a moment.  Compared with a warm server it would
-    count as slowed throughout, and work would start at eight times its cost as readily
-    as at twice.  It is therefore compared with its own recent baseline.
+    it eight times as slow for a moment.  Compared with a warm server it would count as
+    slowed throughout, and work would start at eight times its cost as readily as at twice.
+    It is therefore compared with its own recent baseline.
 
     If the first reading falls into a slow phase, there is no lower one to compare with.
     After a stop of all nodes, one node in four would fill its slots with work at eight times
