--- a/caperstack/admission/gate.py
+++ b/caperstack/admission/gate.py
@@ -190,9 +190,9 @@
         Notes
         -----
         In an overload that lasts for seconds, a call that can no longer meet its objective
-        is refused at once, so that its caller retries or gives up.  Late calls
-        in the queue would take slots from calls that can still be in time, and nested calls
-        would wait while their parent holds a slot of another service.
+        is refused at once, so that its caller retries or gives up.  Late calls in the queue
+        would occupy slots needed by calls that can still be in time, and nested calls would
+        wait while their parent holds a slot of another service.
 
         Short calls may wait for one median service time longer, since they are mostly nested:
         the parent has run for longer and would fail with them.
@@ -211,11 +211,11 @@
 
         Notes
         -----
-        In an overload of a second or two, a call that missed its objective is late whenever
-        it is retried, and its answer is worth the same until the deadline.  Callers that
-        retry at once are refused repeatedly until they give up, while a later
-        retry may find a free slot.  Short calls are exempt from the least delay, since a
-        parent call waits for them.
+        In an overload of a second or two, a call that cannot meet its objective here is late
+        whenever it is retried, and its answer is worth the same until the deadline.  Callers
+        that retry at once are refused repeatedly until they give up, while a later retry may
+        find a free slot.  Short calls are exempt from the least delay, since a parent call
+        waits for them.
         """
         if service_seconds > self._queue.short_seconds:
             wait = max(wait, RETRY_DELAY_SHARE * (time_left(call.deadline) - service_seconds))
--- a/caperstack/admission/limit.py
+++ b/caperstack/admission/limit.py
@@ -167,10 +167,10 @@
 
         Notes
         -----
-        This is the service time of the call that occupies a slot at a random moment. The
-        median is over slot time rather than calls, since short calls may be the
-        majority while long ones occupy most slots.  With a mean, a few calls of several
-        seconds would make all others count as short.
+        This is the typical service time of the call that occupies a slot at a random moment.
+        The median is over slot time rather than calls, since short calls may be the majority
+        while long ones occupy most slots.  With a mean, a few calls of several seconds would
+        make all others count as short.
         """
         times = sorted((self._routes[r].value, s) for r, s in self._slot_seconds.items())
         half = sum(self._slot_seconds.values()) / 2
--- a/caperstack/admission/slowdown.py
+++ b/caperstack/admission/slowdown.py
@@ -69,8 +69,8 @@
         """Lowest recent slowdown."""
         self._drop_old()
         lowest = self._minima[0][1] if self._minima else 1.0
-        settled = now() - self._observed_since >= BASELINE_SECONDS
-        return lowest if settled else min(lowest, MAX_INITIAL_BASELINE)
+        long_observed = now() - self._observed_since >= BASELINE_SECONDS
+        return lowest if long_observed else min(lowest, MAX_INITIAL_BASELINE)
 
     @property
     def relative(self):
--- a/caperstack/admission/tests/test_slowdown.py
+++ b/caperstack/admission/tests/test_slowdown.py
@@ -65,9 +65,9 @@
             for at, v in readings_by_time
             if at >= self.clock - BASELINE_SECONDS or at == self.clock
         )
-        settled = self.clock - readings_by_time[0][0] >= BASELINE_SECONDS
+        long_observed = self.clock - readings_by_time[0][0] >= BASELINE_SECONDS
         self.assertEqual(
-            slowdown.baseline, lowest if settled else min(lowest, MAX_INITIAL_BASELINE)
+            slowdown.baseline, lowest if long_observed else min(lowest, MAX_INITIAL_BASELINE)
         )
 
     def test_only_large_changes_are_reported(self):
