--- a/caperstack/admission/cold.py
+++ b/caperstack/admission/cold.py
@@ -1,4 +1,4 @@
-"""How many calls a second a cold backend server gets."""
+"""Rate limit for calls to a cold backend server."""
 
 from collections import deque
 
@@ -6,113 +6,120 @@
 
 __all__ = ["ColdLimit"]
 
-#: The span in which starts are counted, in seconds; a little more than a second,
-#: since calls that are sent a second apart may arrive closer together.
-SPAN_SECONDS = 1.05
+#: Window in which starts are counted, in seconds; a little more than one second, since
+#: calls that are sent a second apart may arrive closer together.
+WINDOW_SECONDS = 1.05
 
-#: A process's predecessor ended at least so long before its own first statement, in
-#: seconds: the start of the interpreter.
+#: Least time between the end of the previous process and the first statement of this one, in
+#: seconds: the interpreter takes that long to start.
 RESTART_SECONDS = 0.1
 
-#: Starts that are kept back of those that a cold server bears in a second.
-RESERVE = 1
+#: Starts subtracted from the number that a cold server sustains in a second.
+RESERVED_STARTS = 1
 
 
 class ColdLimit:
-    """The starts of the last second, of which a cold backend server bears only so many.
-
-    Notes
-    -----
-    A backend server that has just started, or says so at any later moment, ends if
-    it gets many more calls a second than it bears.  Starts are counted all the time,
-    so that the limit holds from the moment at which the server turns cold.
-
-    A server counts as cold until it says that it is warm, also when the time is over
-    for which it was to be cold: it may have turned cold again.  After as many starts
-    without a word as a cold one bears in a second it counts as cold, too.  What another
-    process may have sent before this one began counts as a full second's starts, unless
-    the server turned cold only after that.
+    """Sliding-window rate limit on the starts of calls at a cold backend server.
 
     Attributes
     ----------
-    most : int
-        Starts in a second that a cold server bears; 0 if there is no bound.
+    max_starts : int
+        Starts per window allowed while the server is cold; 0 if there is no bound.
     cold_seconds : float
-        For how long a server is cold that has just started; 0 if nobody says.
+        Time for which a server is cold after its start, in seconds; 0 if unknown.
+
+    Notes
+    -----
+    A backend server that is cold, since it has just started or reports it at any later
+    time, crashes if it gets many more calls per second than it sustains.  Starts are
+    always counted, so that the limit holds from the moment at which the server turns cold.
+
+    A server counts as cold until it reports that it is warm, even after the announced cold
+    time has passed, since it may have turned cold again.  A warm server counts as cold
+    again after `max_starts` starts without a report.  Calls that a previous process may have
+    sent before this one began count as a full window of starts, unless the server turned
+    cold only after that.
     """
 
     def __init__(self):
         self._starts = deque()
-        self._unheard = 0
+        self._unreported = 0
         self._warm = False
-        self._ask_at = 0.0
-        self._alone_since = process_start() - RESTART_SECONDS
-        self._unknown_until = self._alone_since + SPAN_SECONDS
-        self.most = 0
+        self._report_due_at = 0.0
+        self._sole_sender_since = process_start() - RESTART_SECONDS
+        self._unknown_until = self._sole_sender_since + WINDOW_SECONDS
+        self.max_starts = 0
         self.cold_seconds = 0.0
 
     @property
     def cold(self):
-        """Whether the limit is in force."""
-        return self.most > 0 and (not self._warm or self._unheard >= self.most)
+        """Whether the limit applies."""
+        return self.max_starts > 0 and (not self._warm or self._unreported >= self.max_starts)
 
     @property
-    def outdated(self):
-        """Whether the server should be asked before the next start.
+    def report_due(self):
+        """Whether to ask the server for a report before the next start.
 
-        It may be warm by now, or has got half of what a cold one bears without a word.
+        Notes
+        -----
+        That is so once a cold server may be warm, and once a warm one has got half
+        of `max_starts` calls without a report.
         """
-        if not self.most:
+        if not self.max_starts:
             return False
-        return now() >= self._ask_at if not self._warm else 2 * self._unheard >= self.most
+        return (
+            now() >= self._report_due_at
+            if not self._warm
+            else 2 * self._unreported >= self.max_starts
+        )
 
     def resize(self, per_second, cold_seconds=0.0):
-        """Bound the starts of a second at a cold server, 0 for any number."""
-        self.most = max(1, int(per_second) - RESERVE) if per_second > 0 else 0
+        """Set the starts per second that a cold server sustains (0 for no bound)."""
+        self.max_starts = max(1, int(per_second) - RESERVED_STARTS) if per_second > 0 else 0
         self.cold_seconds = cold_seconds
 
     def restart(self):
-        """Another start of the backend server: it got nothing yet, and said nothing."""
+        """Forget all starts and reports, since the backend server has restarted."""
         self._starts.clear()
-        self._unheard = 0
+        self._unreported = 0
         self._warm = False
-        self._ask_at = 0.0
+        self._report_due_at = 0.0
         self._unknown_until = 0.0
 
-    def hear(self, seconds):
-        """The server says that it will be cold for so many seconds more; 0 if it is warm."""
+    def set_remaining(self, seconds):
+        """Record a report of the server: it stays cold for `seconds` more, or is warm if 0."""
         self._warm = seconds <= 0
-        self._unheard = 0
-        self._ask_at = deadline_after(seconds)
-        cold_since = self._ask_at - self.cold_seconds
-        if seconds <= self.cold_seconds and cold_since >= self._alone_since:
+        self._unreported = 0
+        self._report_due_at = deadline_after(seconds)
+        cold_since = self._report_due_at - self.cold_seconds
+        if seconds <= self.cold_seconds and cold_since >= self._sole_sender_since:
             self._unknown_until = 0.0
 
-    def take(self):
-        """Count a start."""
-        self._unheard += 1
+    def record_start(self):
+        """Record the start of a call."""
+        self._unreported += 1
         self._starts.append(now())
-        # Starts before the last `most` bound no later one.
-        while len(self._starts) > max(1, self.most):
+        # Only the last `max_starts` starts can bound a later one.
+        while len(self._starts) > max(1, self.max_starts):
             self._starts.popleft()
 
     def wait(self, ahead=0):
-        """Return how many seconds it takes until a call may start, with so many before it."""
+        """Return the seconds until a call may start after `ahead` other calls."""
         if not self.cold:
             return 0.0
         moment = now()
-        starts = deque(self._counted(moment), maxlen=self.most)
+        starts = deque(self._starts_in_window(moment), maxlen=self.max_starts)
         start = moment
         for _ in range(ahead + 1):
-            if len(starts) == self.most:
-                start = max(start, starts[0] + SPAN_SECONDS)
+            if len(starts) == self.max_starts:
+                start = max(start, starts[0] + WINDOW_SECONDS)
             starts.append(start)
         return start - moment
 
-    def _counted(self, moment):
-        """Return the points at which the calls that count now started, the oldest first."""
-        recent = [start for start in self._starts if start > moment - SPAN_SECONDS]
+    def _starts_in_window(self, moment):
+        """Return the times of the starts in the current window, the oldest first."""
+        recent = [start for start in self._starts if start > moment - WINDOW_SECONDS]
         if moment < self._unknown_until:
-            before = self._unknown_until - SPAN_SECONDS
-            return [before] * (self.most - len(recent)) + recent
+            before = self._unknown_until - WINDOW_SECONDS
+            return [before] * (self.max_starts - len(recent)) + recent
         return recent
--- a/caperstack/admission/owner.py
+++ b/caperstack/admission/owner.py
@@ -1,9 +1,9 @@
-"""The owner: the exact decision beside the backend server."""
+"""Admission control at the owner, the node beside the backend server."""
 
-from caperstack.admission.arrivals import Arrivals
+from caperstack.admission.arrivals import ArrivalChecks
 from caperstack.admission.execution import Execution
-from caperstack.admission.follower import ServerFollower
 from caperstack.admission.memory import CallMemory
+from caperstack.admission.tracker import ServerTracker
 from caperstack.calls.model import (
     NotRun,
     Unknown,
@@ -14,21 +14,21 @@
 
 __all__ = ["Owner"]
 
-#: A call starts on a reading of the pace that is at most so old, in seconds; each
-#: answer brings one.  At most 50 questions a second follow from it, of the 60
-#: that backend servers bear.
-FRESH_READING_SECONDS = 0.02
+#: Greatest age of the slowdown reading on which a call starts, in seconds; each answer brings
+#: a new one. This causes at most 50 queries per second, of the 60 that backend servers
+#: sustain.
+MAX_READING_AGE_SECONDS = 0.02
 
-#: How long a call that holds a slot waits for its body, in seconds: 64 kB over a link
-#: of 1 Mbit/s.
+#: Timeout for a call that holds a slot to receive its body, in seconds: 64 kB over a link of
+#: 1 Mbit/s.
 BODY_SECONDS = 0.5
 
 
-class Owner(ServerFollower):
+class Owner(ServerTracker):
     """Admit, queue, run or refuse calls for the one backend server beside this node.
 
-    Every call to the backend server passes here, so the calls in flight, the
-    free slots and the recent service times are known exactly and for nothing.
+    Every call to the backend server passes through its owner, which therefore knows the
+    calls in flight, the free slots and the service times exactly and at no cost.
 
     Parameters
     ----------
@@ -45,31 +45,31 @@
             client,
             self._gate,
             self._times,
-            self._pace,
-            self._failures,
-            self._standing,
+            self._slowdown,
+            self._breaker,
+            self._status,
             self._watch,
         )
         self._memory = CallMemory()
         self._arrivals = None
-        self._suspect_at_work = False
+        self._suspect_running = False
 
     async def start(self, kernel):
-        """Find the services that this one needs."""
+        """Look up the services that the owner depends on."""
         await super().start(kernel)
         await self._execution.start(kernel)
-        self._arrivals = Arrivals(
-            self._standing,
-            self._failures,
+        self._arrivals = ArrivalChecks(
+            self._status,
+            self._breaker,
             self._times,
-            self._pace,
+            self._slowdown,
             kernel.find("pauses"),
             kernel.find("members"),
             self._suspects,
         )
 
     async def stop(self):
-        """Stop; waiting calls are refused, running ones have ended before."""
+        """Refuse waiting calls; running ones have ended before."""
         self._gate.refuse_all("node stops")
 
     async def run(self, call, queued=None):
@@ -80,60 +80,59 @@
         call : caperstack.calls.model.Call
             The call.
         queued : callable, optional
-            Called if the call has to wait, so that the entry learns of it.
+            Called if the call has to wait, so that the entry is notified.
 
         Notes
         -----
-        The outcome is remembered under the call's identifier.  A call that
-        was revoked before it arrived meets the record of the revocation and
-        is refused.
+        The outcome is recorded under the call's identifier.  A call that was revoked
+        before it arrived is refused, since the record of the revocation exists.
         """
         if self._memory.find(call.origin, call.id) is not None:
             return NotRun("revoked before it arrived", 0.0)
         record = self._memory.begin(call)
-        self._times.expect(call)
+        self._times.seed(call)
         outcome = None
         try:
             outcome = await self._admit_and_run(call, record, queued)
         except Exception as error:
-            # A fault in this program must not leave a caller without an answer.
+            # An unexpected exception must not leave the caller without an answer.
             self._events.state("fault", "none", f"{type(error).__name__}: {error}")
-            outcome = _broken_off("internal error", record)
+            outcome = _interrupted_outcome("internal error", record)
         finally:
-            self._memory.settle(call, record, outcome or _broken_off("cancelled", record))
+            self._memory.settle(call, record, outcome or _interrupted_outcome("cancelled", record))
         return outcome
 
     async def revoke(self, origin, number, sent_at):
-        """Stop a call that has not been dispatched, and return how it ended.
+        """Cancel a call that has not been dispatched, and return its outcome.
 
         See `caperstack.admission.memory.CallMemory.resolve`.
         """
         return await self._memory.resolve(origin, number, sent_at)
 
     def abandon(self, origin, number):
-        """Cancel call `number` of host `origin`; nobody waits for its answer."""
+        """Cancel call `number` of host `origin`, whose answer nobody awaits."""
         self._memory.abandon(origin, number)
 
     async def _admit_and_run(self, call, record, queued):
         refusal = await self._admit(call, queued)
         if refusal is not None:
-            self._refused(call, refusal)
+            self._record_refusal(call, refusal)
             return refusal
         try:
-            refusal = await self._bring_body(call)
-            refusal = refusal or self._arrivals.barred(call) or self._arrivals.too_late(call)
+            refusal = await self._fetch_body(call)
+            refusal = refusal or self._arrivals.blocked(call) or self._arrivals.too_late(call)
             if refusal is None and self._suspects.verdict(call.fingerprint) == Verdict.ALONE:
                 return await self._run_alone(call, record)
             if refusal is not None:
-                self._refused(call, refusal)
+                self._record_refusal(call, refusal)
                 return refusal
             record.dispatched = True
             return await self._execution.run(call)
         finally:
             self._gate.release()
 
-    async def _bring_body(self, call):
-        """Get the body that the entry has kept; return the `NotRun` if it does not come."""
+    async def _fetch_body(self, call):
+        """Fetch the body that the entry withheld; return a `NotRun` if that fails."""
         if call.withheld is None:
             return None
         try:
@@ -143,25 +142,25 @@
         return None
 
     async def _run_alone(self, call, record):
-        """Run a suspect while no other is at work here, or refuse it.
+        """Run a suspect request unless another one runs here, and refuse it otherwise.
 
         Notes
         -----
-        Failure: bystanders of two ends run beside the culprit once more; its server
-        ends, and all of them have three to their name.
+        Innocent requests that already ran during two crashes could otherwise run beside
+        the culprit once more; when the server crashes, all of them are charged with three crashes.
         """
-        if self._suspect_at_work:
-            refusal = NotRun("another suspect is at work", self._times.usual)
-            self._refused(call, refusal)
+        if self._suspect_running:
+            refusal = NotRun("another suspect is at work", self._times.baseline)
+            self._record_refusal(call, refusal)
             return refusal
-        self._suspect_at_work = True
+        self._suspect_running = True
         record.dispatched = True
         try:
             return await self._execution.run(call)
         finally:
-            self._suspect_at_work = False
+            self._suspect_running = False
 
-    def _refused(self, call, refusal):
+    def _record_refusal(self, call, refusal):
         self._metrics.refused(refusal.reason)
         self._events.refusal(
             "owner refuses",
@@ -170,39 +169,39 @@
             running=self._gate.running,
             limit=self._gate.limit,
             waiting=self._gate.waiting,
-            pace=round(self._pace.value, 2),
+            pace=round(self._slowdown.value, 2),
             objective_ms=_objective_ms(call),
         )
 
     async def _admit(self, call, queued):
-        """Take a slot and return ``None``, or return the `NotRun` that refuses."""
+        """Acquire a slot for `call` and return ``None``, or return the refusal."""
         refusal = self._arrivals.refusal(call)
-        if refusal is None and self._outdated:
+        if refusal is None and self._reading_due:
             await self._refresh()
             refusal = self._arrivals.refusal(call)
         if refusal is not None:
             return refusal
         refusal = await self._gate.admit(call, lambda wait: self._note_wait(call, wait, queued))
         if refusal is None and call.start_expected_at:
-            self._note_start(call)
+            self._record_wait_error(call)
         return refusal
 
     @property
-    def _outdated(self):
-        """Whether to ask for the host's pace before a call starts.
+    def _reading_due(self):
+        """Whether to query the host's slowdown before a call starts.
 
         Notes
         -----
-        Which load it answers: a neighbour takes the host between two readings,
-        and what starts until the next one takes several times as long.  Or the
-        server may have turned cold, or warm.  A question beside it is cheap.
+        If a slow phase of the host begins between two readings, calls that start before the
+        next one take several times as long.  The server may also have turned cold or
+        warm.  A query from the node beside it is cheap.
         """
         if not self._refresh:
             return False
-        paced = not self._pace.slowed and self._pace.age > FRESH_READING_SECONDS
-        return paced or self._cold.outdated
+        stale = not self._slowdown.slowed and self._slowdown.age > MAX_READING_AGE_SECONDS
+        return stale or self._cold.report_due
 
-    def _note_start(self, call):
+    def _record_wait_error(self, call):
         error = now() - call.start_expected_at
         self._metrics.time("wait_error_seconds", abs(error), "later" if error > 0 else "sooner")
 
@@ -221,9 +220,10 @@
 
 
 def _objective_ms(call):
-    """Return how far the call's objective is away, for the log; negative once it is over."""
+    """Return the time left to the call's objective in milliseconds; negative once passed."""
     return round(time_left(call.objective_at or call.deadline) * 1000)
 
 
-def _broken_off(reason, record):
+def _interrupted_outcome(reason, record):
+    """Return the outcome of a call that was interrupted, which may have run if dispatched."""
     return Unknown(reason) if record.dispatched else NotRun(reason, 0.0)
--- /dev/null
+++ b/caperstack/admission/tracker.py
@@ -0,0 +1,253 @@
+"""State and load of the owner's backend server, with change notifications."""
+
+import asyncio
+
+from caperstack.admission.cold import ColdLimit
+from caperstack.admission.gate import SlotGate
+from caperstack.admission.limit import CircuitBreaker, ServiceTimes
+from caperstack.admission.slowdown import FIRST_READING_SECONDS, HostSlowdown
+from caperstack.admission.status import ServerStatus
+from caperstack.calls.model import Load, ServerState
+from caperstack.quarantine.crash import CrashWatch
+
+__all__ = ["ServerTracker"]
+
+
+class ServerTracker:
+    """Track whether one backend server is listed, healthy, cold, restarted or ended.
+
+    Parameters
+    ----------
+    settings : caperstack.config.start.BackendSettings
+        The backend server.
+    client : object
+        With ``restart()`` and ``async listens(deadline)``, as
+        `caperstack.backend.client.BackendClient`.
+    """
+
+    def __init__(self, settings, client):
+        self._client = client
+        self._times = ServiceTimes()
+        self._slowdown = HostSlowdown()
+        self._cold = ColdLimit()
+        self._gate = SlotGate(
+            settings.slots, settings.slots_share, self._times, self._slowdown, self._cold
+        )
+        self._status = ServerStatus()
+        self._listeners = []
+        self._breaker = CircuitBreaker()
+        self._published = 0
+        self._watch = CrashWatch(client, self._status)
+        self._watch.listen(self._on_end)
+        self._refresh = None
+        self._metrics = None
+        self._events = None
+        self._suspects = None
+
+    @property
+    def state(self):
+        """The published `ServerState`."""
+        return self._status.state
+
+    @property
+    def answering(self):
+        """Whether the backend server has answered a call recently."""
+        return self._status.answering
+
+    @property
+    def node_leaves(self):
+        """Whether the node is stopping."""
+        return self._status.node_leaves
+
+    @property
+    def idle(self):
+        """Whether no call runs or waits."""
+        return self._gate.running == 0 and self._gate.waiting == 0
+
+    @property
+    def instance(self):
+        """Instance of the backend server to which calls are addressed; empty for any."""
+        return self._status.instance
+
+    @property
+    def load(self):
+        """The current, exact `Load`."""
+        return Load(
+            self._gate.running,
+            self._gate.waiting,
+            self._gate.limit,
+            int(self._times.recent * self._slowdown.baseline * 1e6) if self._times.known else 0,
+            self._status.state,
+            self._breaker.failure_percent,
+            self._published,
+            round(self._slowdown.relative * 100),
+        )
+
+    async def start(self, kernel):
+        """Look up the services that the tracker depends on."""
+        self._metrics = kernel.find("metrics")
+        self._events = kernel.find("events")
+        self._suspects = kernel.find("suspects")
+
+    def leave(self):
+        """Refuse new calls permanently, since the node is stopping."""
+        self._status.node_leaves = True
+        self.set_state(ServerState.STOPPING)
+
+    def set_listed(self, listed):
+        """Set whether the platform lists the backend server as serving."""
+        self.set_state(self._status.set_listed(listed))
+
+    def set_evacuated(self, evacuated):
+        """Set whether operators have evacuated the zone."""
+        self.set_state(self._status.set_evacuated(evacuated))
+
+    def set_health(self, state):
+        """Set the state that the backend server's health path shows."""
+        if state == ServerState.WARM and self._cold.cold:
+            state = ServerState.COLD
+        self.set_state(self._status.set_health(state))
+
+    def set_cold_remaining(self, seconds):
+        """Record the report that the server stays cold for `seconds` more, or is warm if 0."""
+        self._cold.set_remaining(seconds)
+        self._gate.start_waiting()
+
+    def set_cold_limit(self, per_second, cold_seconds=0.0):
+        """Limit the calls to the backend server while it is cold.
+
+        Parameters
+        ----------
+        per_second : float
+            Calls per second that a cold server sustains; 0 for no bound.
+        cold_seconds : float
+            Time for which a server is cold after its start, in seconds; 0 if unknown.
+        """
+        self._cold.resize(per_second, cold_seconds)
+
+    def note_instance(self, instance):
+        """Record which instance has answered; if it is another one, the assigned one has ended."""
+        if instance == self._status.instance:
+            self._watch.note_life()
+        if instance and self._status.instance:
+            self.set_state(self._status.set_ended(instance != self._status.instance))
+
+    def set_state(self, state):
+        """Publish `state`; if it is a closed state, refuse waiting calls.
+
+        Returns
+        -------
+        bool
+            Whether the state changed.
+        """
+        old = self._status.state
+        if not self._status.set_state(state):
+            return False
+        self._events.state("backend server", old=old, new=state)
+        if self._status.closed:
+            self._gate.refuse_all(self._status.closed_reason)
+        self.notify_listeners()
+        return True
+
+    def notify_listeners(self):
+        """Call the listeners, which send the load to peers."""
+        for listener in self._listeners:
+            listener()
+
+    def assign(self, instance, service, born_ms=0):
+        """Set the instance, start time and service of the backend server.
+
+        Parameters
+        ----------
+        instance : str
+            Name of the instance.
+        service : str
+            Its service.
+        born_ms : int, optional
+            Start of the server in milliseconds since 1970; 0 if unknown.
+
+        Notes
+        -----
+        The start time distinguishes a restart under the same instance name.  By name alone,
+        calls would wait for slots that the previous run held, use connections that it had
+        open, and be refused for failures of the previous run.  Calls that ran there
+        end as `Unknown`, not as `NotRun`.
+        """
+        status = self._status
+        if (instance, born_ms, service) == (status.instance, status.born_ms, status.service):
+            return
+        self._events.state("instance", status.instance, f"{instance} of {service}, {born_ms}")
+        first = not status.instance
+        if not first:
+            self._watch.started_anew()
+        moved = status.service not in ("", service)
+        status.instance = instance
+        status.born_ms = born_ms
+        status.service = service
+        self.set_state(status.set_ended(False))
+        self._slowdown.restart()
+        if not first:
+            self._reset_for_restart(moved)
+
+    def _reset_for_restart(self, moved):
+        self._breaker.restart()
+        self._times.restart()
+        self._gate.restart()
+        self._cold.restart()
+        self._client.restart()
+        if self._refresh is not None:
+            self._expect_reading()
+        # Waiting calls must not be addressed to the new instance: if the address now belongs
+        # to another service, they would run there.
+        reason = "backend server is of another service" if moved else "backend server started anew"
+        self._gate.refuse_all(reason)
+
+    def _on_end(self, end):
+        self._metrics.count("backend_ends")
+        self._suspects.note_end(end.number, [work.fingerprint for work in end.works.values()])
+        self._events.belief(
+            "backend server ended",
+            instance=end.instance,
+            end=f"{end.number:016x}",
+            at_work={work.request_id: work.fingerprint.text for work in end.works.values()},
+        )
+        self.set_state(self._status.set_ended(True))
+
+    def resize(self, slots):
+        """Set the number of slots of the backend server."""
+        self._gate.resize(slots)
+
+    def listen(self, listener):
+        """Call ``listener()`` when the state changes, or the slowdown changes significantly."""
+        self._listeners.append(listener)
+
+    def expect_slowdown(self, refresh=None):
+        """Defer calls until the first reading of the host's slowdown, which is now polled.
+
+        Parameters
+        ----------
+        refresh : callable, optional
+            ``await refresh()`` takes another reading at once.
+        """
+        self._refresh = refresh
+        self._expect_reading()
+
+    def _expect_reading(self):
+        self._slowdown.expect_reading()
+        # If none comes in time, the calls that wait for it start without one.
+        asyncio.get_running_loop().call_later(FIRST_READING_SECONDS, self._gate.start_waiting)
+
+    def set_slowdown(self, slowdown):
+        """Record a reading: work on the host now takes `slowdown` times the nominal time."""
+        first = self._slowdown.awaiting_reading
+        if self._slowdown.record_reading(slowdown) or first:
+            self.notify_listeners()
+            self._gate.start_waiting()
+
+    def set_published(self, in_flight):
+        """Set the calls in flight as published by the backend server's load endpoint."""
+        self._published = in_flight
+
+    def start_cold(self):
+        """Begin with the lowest concurrency limit, since the backend server has just started."""
+        self._gate.start_cold()
--- a/caperstack/play/policies.py
+++ b/caperstack/play/policies.py
@@ -43,7 +43,7 @@
 _QUEUE = "caperstack.admission.queue"
 _GATE = "caperstack.admission.gate"
 _LIMIT = "caperstack.admission.limit"
-_PACE = "caperstack.admission.pace"
+_PACE = "caperstack.admission.slowdown"
 _DISPATCH = "caperstack.routing.dispatch.Dispatcher"
 _ESTIMATES = "caperstack.routing.estimates"
 
@@ -61,35 +61,35 @@
             f"{_GATE}.SlotGate._last_start": _until_the_deadline,
         },
     ),
-    "short calls wait": ("load_aware", {f"{_GATE}.SHORT_SHARE": 0.0}),
+    "short calls wait": ("load_aware", {f"{_GATE}.SHORT_CALL_SHARE": 0.0}),
     "all wait, none is refused": (
         "load_aware",
         {f"{_GATE}.SlotGate._expected_wait": _no_wait_known},
     ),
-    "slots rounded up": ("load_aware", {f"{_GATE}.ROUNDING": 1.0}),
+    "slots rounded up": ("load_aware", {f"{_GATE}.ROUNDING_TOLERANCE": 1.0}),
     "limit is not learnt": ("load_aware", {"caperstack.admission.knee.Knee.allowed": _as_it_is}),
     "slots rounded up, not learnt": (
         "load_aware",
-        {f"{_GATE}.ROUNDING": 1.0, "caperstack.admission.knee.Knee.allowed": _as_it_is},
+        {f"{_GATE}.ROUNDING_TOLERANCE": 1.0, "caperstack.admission.knee.Knee.allowed": _as_it_is},
     ),
     "cold servers get any number": (
         "load_aware",
         {"caperstack.admission.cold.ColdLimit.resize": _any_number},
     ),
-    "limit does not adapt": ("load_aware", {f"{_LIMIT}.SlotLimit.adjust": _no_step}),
-    "slow servers are not doubted": ("load_aware", {f"{_LIMIT}.DOUBT": 1e9}),
-    "failing servers are not gated": ("load_aware", {f"{_LIMIT}.GATE_SHARE": 2.0}),
+    "limit does not adapt": ("load_aware", {f"{_LIMIT}.AdaptiveLimit.adjust": _no_step}),
+    "slow servers are not doubted": ("load_aware", {f"{_LIMIT}.PROBE_THRESHOLD": 1e9}),
+    "failing servers are not gated": ("load_aware", {f"{_LIMIT}.OPEN_FAILURE_SHARE": 2.0}),
     "nobody is ejected": ("load_aware", {f"{_ESTIMATES}.EJECT_SHARE": 2.0}),
     "fixed first guess": ("load_aware", {"caperstack.calls.model.WORK_SHARE": 0.0}),
-    "first pace believed": ("load_aware", {f"{_PACE}.FIRST_USUAL_MOST": 1e9}),
+    "first pace believed": ("load_aware", {f"{_PACE}.MAX_INITIAL_BASELINE": 1e9}),
     "visits ignored": (
         "load_aware",
         {f"{_PACE}.SLOWED_PACE": 1e9, f"{_ESTIMATES}.SLOWED_PACE": 1e9},
     ),
-    "nothing is held": ("load_aware", {f"{_GATE}.SlotGate._holds": _never}),
+    "nothing is held": ("load_aware", {f"{_GATE}.SlotGate._defers": _never}),
     "no question before a start": (
         "load_aware",
-        {"caperstack.admission.owner.FRESH_READING_SECONDS": 1e9},
+        {"caperstack.admission.owner.MAX_READING_AGE_SECONDS": 1e9},
     ),
     "no hedges": ("load_aware", {f"{_DISPATCH}._may_hedge": _never}),
     "no repeats": ("load_aware", {f"{_DISPATCH}._may_repeat": _never}),
@@ -103,8 +103,8 @@
         {"caperstack.peers.interest.CALLS_SECONDS": 5.0},
     ),
     "no zone is nearer": ("load_aware", {"caperstack.routing.policies.ZONE_SECONDS": 0.0}),
-    "callers return at once": ("load_aware", {f"{_GATE}.RETURN_SHARE": 0.0}),
-    "returns not spread": ("load_aware", {f"{_GATE}.RETURN_SPREAD": 0.0}),
+    "callers return at once": ("load_aware", {f"{_GATE}.RETRY_DELAY_SHARE": 0.0}),
+    "returns not spread": ("load_aware", {f"{_GATE}.RETRY_JITTER": 0.0}),
     "return later after a refusal": (
         "load_aware",
         {"caperstack.play.server.REFUSED_SECONDS": 0.2},
