--- a/caperstack/admission/local.py
+++ b/caperstack/admission/local.py
@@ -27,4 +27,4 @@
 
     def freshen(self, estimate):
         """Tell `estimate` the exact load, which costs nothing here."""
-        estimate.take_load(self._owner.load)
+        estimate.update_load(self._owner.load)
--- a/caperstack/membership/tests/test_members.py
+++ b/caperstack/membership/tests/test_members.py
@@ -58,8 +58,8 @@
         member = members.find("x")
         member.estimate.begin()
         for _ in range(20):
-            member.estimate.take_result(True)
-        member.estimate.take_load(Load(state=ServerState.LEAVING))
+            member.estimate.record_result(True)
+        member.estimate.update_load(Load(state=ServerState.LEAVING))
         members.take_list([entry("x", instance="i@1", leaving=True)])
         self.assertTrue(member.estimate.ejected)
         members.take_list([entry("x", instance="i@2")])
@@ -71,9 +71,9 @@
         members = make_members()
         members.take_list([entry("x")])
         estimate = members.find("x").estimate
-        estimate.take_load(Load(state=ServerState.LEAVING))
+        estimate.update_load(Load(state=ServerState.LEAVING))
         self.assertTrue(members.find("x").leaving)
-        estimate.take_load(Load(state=ServerState.WARM))
+        estimate.update_load(Load(state=ServerState.WARM))
         self.assertFalse(members.find("x").leaving)
 
     def test_a_list_without_this_node_keeps_it(self):
--- a/caperstack/peers/link.py
+++ b/caperstack/peers/link.py
@@ -139,7 +139,7 @@
         """
         connection = await self._open(call.deadline)
         future = self._expect(call.id)
-        withheld = self._member.estimate.withholds(len(call.body))
+        withheld = self._member.estimate.should_withhold_body(len(call.body))
         self._calls[call.id] = call
         try:
             message = call_message(call, self._links.events.clock.tick(), withheld)
@@ -375,6 +375,6 @@
 
     def _take_load(self, report):
         load = load_from(report)
-        self._member.estimate.take_load(load)
+        self._member.estimate.update_load(load)
         if load.state == ServerState.STOPPING:
             self._links.members.mark_leaving(self._member.host, self._member.incarnation)
--- a/caperstack/play/hosts.py
+++ b/caperstack/play/hosts.py
@@ -84,7 +84,7 @@
         load = self._owner.load
         self._interest.told(load)
         await asyncio.sleep(self._seconds)
-        self._member.estimate.take_load(load)
+        self._member.estimate.update_load(load)
         return outcome
 
     def freshen(self, _estimate):
@@ -102,7 +102,7 @@
         load = self._owner.load
         self._interest.told(load)
         asyncio.get_running_loop().call_later(
-            self._seconds, lambda: self._member.estimate.take_load(load)
+            self._seconds, lambda: self._member.estimate.update_load(load)
         )
 
 
--- a/caperstack/play/policies.py
+++ b/caperstack/play/policies.py
@@ -79,7 +79,7 @@
     "limit does not adapt": ("load_aware", {f"{_LIMIT}.SlotLimit.adjust": _no_step}),
     "slow servers are not doubted": ("load_aware", {f"{_LIMIT}.DOUBT": 1e9}),
     "failing servers are not gated": ("load_aware", {f"{_LIMIT}.GATE_SHARE": 2.0}),
-    "nobody is ejected": ("load_aware", {f"{_ESTIMATES}.EJECT_SHARE": 2.0}),
+    "nobody is ejected": ("load_aware", {f"{_ESTIMATES}.EJECTION_FAILURE_SHARE": 2.0}),
     "fixed first guess": ("load_aware", {"caperstack.calls.model.WORK_SHARE": 0.0}),
     "first pace believed": ("load_aware", {f"{_PACE}.FIRST_USUAL_MOST": 1e9}),
     "visits ignored": (
--- a/caperstack/routing/candidates.py
+++ b/caperstack/routing/candidates.py
@@ -12,7 +12,7 @@
 PATIENCE = 0.25
 
 #: At most this share of a service's members is ejected at once.
-EJECTED_MOST = 0.5
+MAX_EJECTED_SHARE = 0.5
 
 
 class Candidates:
@@ -120,7 +120,7 @@
         if not usable:
             usable = members
         healthy = [m for m in usable if not m.estimate.ejected]
-        if len(usable) - len(healthy) > len(usable) * EJECTED_MOST:
+        if len(usable) - len(healthy) > len(usable) * MAX_EJECTED_SHARE:
             self._metrics.count("self_doubts")
             return usable
         return healthy or usable
@@ -136,5 +136,9 @@
     went on to it.  The median of what the owners tell is that of a healthy
     server while fewer than half are slow.
     """
-    told = sorted(m.estimate.told_seconds for m in members if m.estimate.told_seconds is not None)
+    told = sorted(
+        m.estimate.reported_service_seconds
+        for m in members
+        if m.estimate.reported_service_seconds is not None
+    )
     return told[(len(told) - 1) // 2] if told else state.usual_seconds
--- a/caperstack/routing/dispatch.py
+++ b/caperstack/routing/dispatch.py
@@ -222,14 +222,14 @@
         if isinstance(outcome, Answered):
             state.take_time(now() - begun, call.route)
         refused = isinstance(outcome, NotRun)
-        member.estimate.take_admission(refused and not outcome.offered)
+        member.estimate.record_admission(refused and not outcome.offered)
         if refused:
             return
         if isinstance(outcome, Unknown) and outcome.end:
             # Before the next send of this call: others tell of the end later.
             self._suspects.note_end(outcome.end, (call.fingerprint,))
         failed = isinstance(outcome, Unknown) or outcome.status >= 500
-        if member.estimate.take_result(failed):
+        if member.estimate.record_result(failed):
             self._events.state("ejection", "in use", "ejected", member.host)
             self._metrics.count("ejections", peer=member.host)
 
--- a/caperstack/routing/tests/test_dispatch.py
+++ b/caperstack/routing/tests/test_dispatch.py
@@ -80,7 +80,7 @@
             member.incarnation = 1
             member.owner = owner
             # Without chance: the first member is the quickest, the last the slowest.
-            member.estimate.take_load(Load(limit=20, service_us=20_000 * 10**number))
+            member.estimate.update_load(Load(limit=20, service_us=20_000 * 10**number))
         self.members = self.known.of_service("s")
         asyncio.run(self.dispatcher.start(kernel))
 
@@ -201,7 +201,7 @@
     def test_down_member_is_avoided(self):
         first, second = FakeOwner(GOOD), FakeOwner(GOOD)
         world = World(first, second)
-        world.members[0].estimate.take_load(Load(state=ServerState.DOWN))
+        world.members[0].estimate.update_load(Load(state=ServerState.DOWN))
         world.dispatch()
         self.assertEqual(first.calls, [])
 
@@ -371,7 +371,7 @@
         waits, other = FakeOwner(None), FakeOwner(GOOD)
 
         async def evacuated():
-            world.members[0].estimate.take_load(Load(state=ServerState.EVACUATED))
+            world.members[0].estimate.update_load(Load(state=ServerState.EVACUATED))
             return NotRun("zone is evacuated", 0.0)
 
         waits._outcomes = [evacuated]
--- a/caperstack/routing/tests/test_estimates.py
+++ b/caperstack/routing/tests/test_estimates.py
@@ -20,7 +20,7 @@
         # Evidence: 30 s of listings, one at a time, after one loss without a
         # repeat: the other server got all of them, in ten runs of ten.
         estimate = Estimate()
-        estimate.take_result(True)
+        estimate.record_result(True)
         self.assertGreater(estimate.failing, 0.0)
         self.time += SERVICE_SECONDS
         self.assertEqual(estimate.failing, 0.0)
