--- a/caperstack/play/policies.py
+++ b/caperstack/play/policies.py
@@ -102,7 +102,7 @@
         "load_aware",
         {"caperstack.peers.interest.CALLS_SECONDS": 5.0},
     ),
-    "no zone is nearer": ("load_aware", {"caperstack.routing.policies.ZONE_SECONDS": 0.0}),
+    "no zone is nearer": ("load_aware", {"caperstack.routing.policies.ZONE_HOP_SECONDS": 0.0}),
     "callers return at once": ("load_aware", {f"{_GATE}.RETURN_SHARE": 0.0}),
     "returns not spread": ("load_aware", {f"{_GATE}.RETURN_SPREAD": 0.0}),
     "return later after a refusal": (
--- a/caperstack/routing/candidates.py
+++ b/caperstack/routing/candidates.py
@@ -9,7 +9,7 @@
 
 #: How long an owner may hold a call before it is better moved on, in usual
 #: service times; the last try may wait until its deadline.
-PATIENCE = 0.25
+QUEUE_WAIT_FACTOR = 0.25
 
 #: At most this share of a service's members is ejected at once.
 MAX_EJECTED_SHARE = 0.5
@@ -39,17 +39,17 @@
         self._metrics = metrics
         members.listen(self._on_member)
 
-    def free_one(self, call, state, tried):
+    def pick_available(self, call, state, tried):
         """Return the best untried member that may run `call` about now, or ``None``."""
         return self._choose(state, self.free(call, state, tried))
 
-    def any_one(self, call, state, failed):
+    def pick_any(self, call, state, failed):
         """Return the best of all members but those in `failed`, busy or not, or ``None``."""
         return self._choose(state, [m for m in self._accepting(call) if m not in failed])
 
-    def first_for(self, call):
+    def pick_deterministic(self, call):
         """Return the member that every entry picks for the request of `call`, or ``None``."""
-        members = self._sound(self._members.usable(self._members.of_service(call.service)))
+        members = self._fit(self._members.usable(self._members.of_service(call.service)))
         name = call.fingerprint.text
         return max(members, key=lambda m: hash_number(f"{name} {m.host}"), default=None)
 
@@ -97,7 +97,7 @@
             for member in members
             if member not in tried
             and not member.estimate.slowed
-            and member.estimate.expected_wait(usual) <= PATIENCE * usual
+            and member.estimate.expected_wait(usual) <= QUEUE_WAIT_FACTOR * usual
         ]
 
     def _choose(self, state, members):
@@ -105,9 +105,9 @@
             return None
         usual = usual_seconds(members, state)
         context = Context(self._here.zone, self._here.region, usual, self._rng)
-        return choose(state.policy, self._sound(members), context)
+        return choose(state.policy, self._fit(members), context)
 
-    def _sound(self, members):
+    def _fit(self, members):
         """Return the members fit for work, or all if too many seem unfit.
 
         Notes
--- a/caperstack/routing/dispatch.py
+++ b/caperstack/routing/dispatch.py
@@ -9,7 +9,7 @@
 from caperstack.exception import PeerError
 from caperstack.quarantine.suspects import Verdict
 from caperstack.routing.budgets import CallBudget, share_at_depth
-from caperstack.routing.candidates import PATIENCE, Candidates
+from caperstack.routing.candidates import QUEUE_WAIT_FACTOR, Candidates
 from caperstack.routing.service import FIRST_USUAL_SECONDS, Attempts, ServiceState
 
 __all__ = ["Dispatcher"]
@@ -19,7 +19,7 @@
 
 
 #: How soon a call may come back for which there is no server, in seconds.
-NOBODY_SECONDS = 1.0
+NO_SERVER_RETRY_SECONDS = 1.0
 
 
 class Dispatcher:
@@ -33,7 +33,7 @@
 
     def __init__(self, here, rng=None, allowance=None):
         self._allowance = allowance
-        self._numbers = call_ids()
+        self._call_ids = call_ids()
         self._services = {}
         self.candidates = Candidates(here, rng or random.Random())
 
@@ -63,7 +63,7 @@
         state.hedges.deposit(share_at_depth(settings.hedge_share, call.depth))
         if call.idempotent and settings.hedge_share > 0:
             return await self._dispatch_hedged(call, state, settings)
-        return await self._try_in_turn(call, state, settings, [], Attempts(call.attempts))
+        return await self._try_sequentially(call, state, settings, [], Attempts(call.attempts))
 
     def _retry_share(self, settings, call):
         if self._allowance is not None:
@@ -87,7 +87,7 @@
 
     # -- one attempt after the other --------------------------------------
 
-    async def _try_in_turn(self, call, state, settings, tried, attempts, queues=True):
+    async def _try_sequentially(self, call, state, settings, tried, attempts, queues=True):
         """Try members until one answers; with `queues` wait at the best as a last resort.
 
         Notes
@@ -103,20 +103,20 @@
         while time_left(call.deadline) > 0:
             verdict = self._suspects.verdict(call.fingerprint)
             if verdict == Verdict.QUARANTINED:
-                return self._kept_away(call, best)
+                return self._refuse_quarantined(call, best)
             if verdict == Verdict.ALONE:
-                return await self._try_alone(call, state, attempts, best)
+                return await self._try_isolated(call, state, attempts, best)
             asks = refusals < settings.refusals_per_call
-            member = self.candidates.free_one(call, state, tried) if asks else None
+            member = self.candidates.pick_available(call, state, tried) if asks else None
             last = member is None
             if last and queues:
-                member = self.candidates.any_one(call, state, failed)
+                member = self.candidates.pick_any(call, state, failed)
             if member is None or not attempts.take():
                 break
             tried.append(member)
             outcome = await self._attempt(call, member, state, last)
             best = _better(outcome, best)
-            if _final(outcome):
+            if _is_final(outcome):
                 return best
             if isinstance(outcome, NotRun) and not outcome.offered:
                 # A server that began to leave while the call waited is no last resort.
@@ -129,9 +129,9 @@
             if not attempts.left or not self._may_repeat(call, state, outcome):
                 return best
             failed.append(member)
-        return best or NotRun(self._members.lacks(call.service), NOBODY_SECONDS)
+        return best or NotRun(self._members.lacks(call.service), NO_SERVER_RETRY_SECONDS)
 
-    def _kept_away(self, call, best):
+    def _refuse_quarantined(self, call, best):
         """Return the outcome of a call whose request must not be sent."""
         refusal = self._suspects.refusal(call)
         self._metrics.count("quarantined_calls", service=call.service)
@@ -145,7 +145,7 @@
         )
         return refusal if best is None or isinstance(best, NotRun) else best
 
-    async def _try_alone(self, call, state, attempts, best):
+    async def _try_isolated(self, call, state, attempts, best):
         """Send a suspect to the one server that all entries send it to, once.
 
         Notes
@@ -155,9 +155,9 @@
         it to the server that stands first for this request in an order that
         every entry computes alike, whose owner runs one suspect at a time.
         """
-        member = self.candidates.first_for(call)
+        member = self.candidates.pick_deterministic(call)
         if member is None or not attempts.take():
-            return best or NotRun(self._members.lacks(call.service), NOBODY_SECONDS)
+            return best or NotRun(self._members.lacks(call.service), NO_SERVER_RETRY_SECONDS)
         return _better(await self._attempt(call, member, state, True), best)
 
     def _may_repeat(self, call, state, outcome):
@@ -171,19 +171,19 @@
             return False
         if not state.retries.withdraw():
             self._metrics.count("retries_denied", service=call.service)
-            self._events.decision("entry may not repeat", call, outcome=_short(outcome))
+            self._events.decision("entry may not repeat", call, outcome=_summary(outcome))
             return False
         self._metrics.count("retries", service=call.service)
-        self._events.decision("entry repeats", call, outcome=_short(outcome))
+        self._events.decision("entry repeats", call, outcome=_summary(outcome))
         return True
 
     async def _attempt(self, call, member, state, last):
         attempt = copy.copy(call)
-        attempt.id = next(self._numbers)
+        attempt.id = next(self._call_ids)
         attempt.last = last or len(self._members.of_service(call.service)) < 2
         attempt.queue_until = call.deadline
         if not attempt.last:
-            patience = deadline_after(PATIENCE * state.usual_seconds)
+            patience = deadline_after(QUEUE_WAIT_FACTOR * state.usual_seconds)
             attempt.queue_until = min(call.deadline, patience)
         begun = attempt.sent_at = now()
         call.notes.append((begun, f"to {member.host}"))
@@ -203,8 +203,8 @@
             outcome = await self._run(attempt, member)
         finally:
             estimate.end()
-        self._learn(call, outcome, member, state, begun)
-        call.notes.append((now(), f"{member.host}: {_short(outcome)}"))
+        self._record_outcome(call, outcome, member, state, begun)
+        call.notes.append((now(), f"{member.host}: {_summary(outcome)}"))
         return outcome
 
     async def _run(self, attempt, member):
@@ -218,7 +218,7 @@
             return Unknown("connection to the owner was lost")
         return await member.owner.resolve(attempt)
 
-    def _learn(self, call, outcome, member, state, begun):
+    def _record_outcome(self, call, outcome, member, state, begun):
         if isinstance(outcome, Answered):
             state.take_time(now() - begun, call.route)
         refused = isinstance(outcome, NotRun)
@@ -238,7 +238,9 @@
     async def _dispatch_hedged(self, call, state, settings):
         tried = []
         attempts = Attempts(call.attempts)
-        first = asyncio.ensure_future(self._try_in_turn(call, state, settings, tried, attempts))
+        first = asyncio.ensure_future(
+            self._try_sequentially(call, state, settings, tried, attempts)
+        )
         try:
             delay = min(state.hedge_delay(call), max(0.0, time_left(call.deadline)))
             await asyncio.wait((first,), timeout=delay)
@@ -268,7 +270,7 @@
         call.notes.append((now(), "hedged"))
         self._events.decision("entry hedges", call, usual_ms=round(state.usual_seconds * 1000))
         second = asyncio.ensure_future(
-            self._try_in_turn(call, state, settings, *bounds, queues=False)
+            self._try_sequentially(call, state, settings, *bounds, queues=False)
         )
         racers = {first, second}
         outcomes = []
@@ -276,20 +278,20 @@
             while racers:
                 done, racers = await asyncio.wait(racers, return_when=asyncio.FIRST_COMPLETED)
                 outcomes += [task.result() for task in done]
-                if any(_final(outcome) for outcome in outcomes):
+                if any(_is_final(outcome) for outcome in outcomes):
                     break
-            return min(outcomes, key=_preference)
+            return min(outcomes, key=_outcome_rank)
         finally:
             for task in racers:
                 task.cancel()
 
 
-def _final(outcome):
+def _is_final(outcome):
     """Return whether `outcome` is an answer that no other server would better."""
     return isinstance(outcome, Answered) and outcome.status not in REPEATABLE_STATUSES
 
 
-def _preference(outcome):
+def _outcome_rank(outcome):
     """Rank outcomes: a final answer, an answer, unknown, not run.
 
     Notes
@@ -299,16 +301,16 @@
     told only if it is true of every attempt.
     """
     if isinstance(outcome, Answered):
-        return 0 if _final(outcome) else 1
+        return 0 if _is_final(outcome) else 1
     return 2 if isinstance(outcome, Unknown) else 3
 
 
 def _better(outcome, best):
     """Return the outcome to tell of two; `best` is ``None`` before the first."""
-    return outcome if best is None else min(outcome, best, key=_preference)
+    return outcome if best is None else min(outcome, best, key=_outcome_rank)
 
 
-def _short(outcome):
+def _summary(outcome):
     if isinstance(outcome, Answered):
         return f"answered {outcome.status}"
     return f"{type(outcome).__name__}: {outcome.reason}"
--- a/caperstack/routing/policies.py
+++ b/caperstack/routing/policies.py
@@ -15,15 +15,15 @@
 ]
 
 #: What a hop to another zone and to another region costs, both ways, in seconds.
-ZONE_SECONDS = 0.002
-REGION_SECONDS = 0.060
+ZONE_HOP_SECONDS = 0.002
+REGION_HOP_SECONDS = 0.060
 
 #: How many candidates are compared: all of a small service, a sample of a large one.
-SAMPLE = 8
+SAMPLE_SIZE = 8
 
 #: Scores within this factor of the best count as equal.  Without it, all
 #: entries that heard the same report would run to the same server.
-NEAR = 1.1
+NEAR_BEST_FACTOR = 1.1
 
 
 @dataclass(slots=True)
@@ -118,16 +118,16 @@
 
 @choose.register
 def _(policy: LoadAware, members, context):
-    sample = members if len(members) <= SAMPLE else context.rng.sample(members, SAMPLE)
+    sample = members if len(members) <= SAMPLE_SIZE else context.rng.sample(members, SAMPLE_SIZE)
     usual = context.usual_seconds
-    scores = [m.estimate.expected_seconds(usual) + _distance(m, context) for m in sample]
-    bound = min(scores) * NEAR
+    scores = [m.estimate.expected_seconds(usual) + _hop_seconds(m, context) for m in sample]
+    bound = min(scores) * NEAR_BEST_FACTOR
     near = [m for m, score in zip(sample, scores, strict=True) if score <= bound]
     # Among equals the own zone: bytes between zones are paid for.
     return context.rng.choice([m for m in near if m.zone == context.zone] or near)
 
 
-def _distance(member, context):
+def _hop_seconds(member, context):
     if member.region != context.region:
-        return REGION_SECONDS
-    return 0.0 if member.zone == context.zone else ZONE_SECONDS
+        return REGION_HOP_SECONDS
+    return 0.0 if member.zone == context.zone else ZONE_HOP_SECONDS
