--- a/caperstack/routing/budgets.py
+++ b/caperstack/routing/budgets.py
@@ -7,14 +7,14 @@
 __all__ = ["CallBudget", "FleetAllowance", "share_at_depth"]
 
 #: Tokens that a quiet service may save up, so that a lone failure can be retried.
-RESERVE = 10.0
+MAX_TOKENS = 10.0
 
 #: Tokens of a service that was never called, for its first failures.
-START_TOKENS = 2.0
+INITIAL_TOKENS = 2.0
 
 #: A node that has just started may know itself alone, and would take the whole
 #: allowance for its own: it counts on this many others at least.
-FEWEST_NODES = 8
+MIN_NODES = 8
 
 
 def share_at_depth(share, depth):
@@ -52,13 +52,13 @@
     True
     """
 
-    def __init__(self, reserve=RESERVE, start=START_TOKENS, per_second=0.0):
+    def __init__(self, reserve=MAX_TOKENS, start=INITIAL_TOKENS, per_second=0.0):
         self._reserve = reserve
         self._per_second = per_second
         self._tokens = start
         self._filled_at = now()
 
-    def bound(self, reserve, per_second):
+    def set_limits(self, reserve, per_second):
         """Save up at most `reserve` tokens from now on, and gain so many a second."""
         self._reserve = reserve
         self._per_second = per_second
@@ -111,16 +111,16 @@
         the node's part of the floor.  The other half is left for calls that a
         repeated call makes again, and for nodes that come and go.
         """
-        part = self._part(nodes)
+        part = self._floor_part(nodes)
         return CallBudget(max(1.0, part), min(1.0, part), part / self.window_seconds)
 
-    def share_out(self, budget, nodes):
+    def rebalance(self, budget, nodes):
         """Bound `budget` anew: so many nodes are known now."""
-        part = self._part(nodes)
-        budget.bound(max(1.0, part), part / self.window_seconds)
+        part = self._floor_part(nodes)
+        budget.set_limits(max(1.0, part), part / self.window_seconds)
 
-    def _part(self, nodes):
-        return self.floor / max(FEWEST_NODES, nodes) / 4
+    def _floor_part(self, nodes):
+        return self.floor / max(MIN_NODES, nodes) / 4
 
     def deposit_share(self):
         """Return what each first try earns; half of the share, for the same reason."""
--- a/caperstack/routing/dispatch.py
+++ b/caperstack/routing/dispatch.py
@@ -10,7 +10,7 @@
 from caperstack.quarantine.suspects import Verdict
 from caperstack.routing.budgets import CallBudget, share_at_depth
 from caperstack.routing.candidates import QUEUE_WAIT_FACTOR, Candidates
-from caperstack.routing.service import FIRST_USUAL_SECONDS, Attempts, ServiceState
+from caperstack.routing.service import INITIAL_USUAL_SECONDS, Attempts, ServiceState
 
 __all__ = ["Dispatcher"]
 
@@ -49,7 +49,7 @@
     def usual_seconds(self, service):
         """Return the usual time of a call of `service`, in seconds."""
         state = self._services.get(service)
-        return FIRST_USUAL_SECONDS if state is None else state.usual_seconds
+        return INITIAL_USUAL_SECONDS if state is None else state.usual_seconds
 
     async def stop(self):
         """Nothing to stop."""
@@ -58,7 +58,7 @@
         """Return the `Outcome` of `call`."""
         settings = self._settings.service(call.service)
         state = self._state(call.service, settings.policy)
-        state.expect(call)
+        state.assume_duration(call)
         state.retries.deposit(self._retry_share(settings, call))
         state.hedges.deposit(share_at_depth(settings.hedge_share, call.depth))
         if call.idempotent and settings.hedge_share > 0:
@@ -74,9 +74,9 @@
         state = self._services.get(service)
         if state is None or state.policy_name != policy:
             state = self._services[service] = self._new_state(policy)
-        if self._allowance is not None and state.shared_among != self._members.version:
-            state.shared_among = self._members.version
-            self._allowance.share_out(state.retries, len(self._members))
+        if self._allowance is not None and state.allowance_version != self._members.version:
+            state.allowance_version = self._members.version
+            self._allowance.rebalance(state.retries, len(self._members))
         return state
 
     def _new_state(self, policy):
@@ -220,7 +220,7 @@
 
     def _record_outcome(self, call, outcome, member, state, begun):
         if isinstance(outcome, Answered):
-            state.take_time(now() - begun, call.route)
+            state.record_duration(now() - begun, call.route)
         refused = isinstance(outcome, NotRun)
         member.estimate.record_admission(refused and not outcome.offered)
         if refused:
--- a/caperstack/routing/service.py
+++ b/caperstack/routing/service.py
@@ -11,32 +11,32 @@
 __all__ = ["FIRST_USUAL_SECONDS", "Attempts", "ServiceState"]
 
 #: The usual time of a service before its first answer, in seconds.
-FIRST_USUAL_SECONDS = 0.02
+INITIAL_USUAL_SECONDS = 0.02
 
 #: The time over which the usual times follow, in seconds, and how many times
 #: longer than usual a call may count.
-USUAL_SECONDS = 10.0
-OUTLIER = 10.0
+AVERAGING_SECONDS = 10.0
+OUTLIER_FACTOR = 10.0
 
 #: Routes whose times are told apart; beyond that they are learnt anew.
-ROUTES_MOST = 500
+MAX_ROUTES = 500
 
 #: Answers after which a route's usual time counts.
-ROUTE_ANSWERS = 10
+MIN_ROUTE_ANSWERS = 10
 
 #: A hedge goes out after this many usual times of the service where callers
 #: have no objective.
-HEDGE_AFTER = 4.0
-HEDGE_LEAST_SECONDS = 0.02
+HEDGE_DELAY_FACTOR = 4.0
+MIN_HEDGE_DELAY_SECONDS = 0.02
 
 #: Where they have one, it goes out when a second answer that takes this many
 #: usual times would just be in time, but not before the first has taken as many
 #: as nine in ten do.  Where a quick second answer (this many) would be late all
 #: the same, it goes out after this many.
-HEDGE_ROOM = 1.15
-HEDGE_NOT_BEFORE = 1.5
-HEDGE_QUICK = 0.9
-HEDGE_LATE = 2.5
+HEDGE_MARGIN_FACTOR = 1.15
+MIN_HEDGE_DELAY_FACTOR = 1.5
+FAST_ANSWER_FACTOR = 0.9
+LATE_HEDGE_DELAY_FACTOR = 2.5
 
 
 @dataclass(slots=True)
@@ -71,7 +71,7 @@
 
     Attributes
     ----------
-    shared_among : int
+    allowance_version : int
         The version of the members among whom the fleet's allowance was shared out.
     """
 
@@ -80,8 +80,8 @@
         self.policy = policy_named(policy_name)
         self.retries = retries
         self.hedges = hedges or CallBudget()
-        self.shared_among = -1
-        self._usual = TimedAverage(FIRST_USUAL_SECONDS, USUAL_SECONDS)
+        self.allowance_version = -1
+        self._usual = TimedAverage(INITIAL_USUAL_SECONDS, AVERAGING_SECONDS)
         self._routes = {}
 
     @property
@@ -89,7 +89,7 @@
         """How long a call usually takes, in seconds."""
         return self._usual.value
 
-    def expect(self, call):
+    def assume_duration(self, call):
         """Take the guess at the work of `call` for usual until the first answer."""
         guess = guessed_seconds(call)
         if guess:
@@ -98,17 +98,17 @@
     def route_seconds(self, route):
         """How long calls of `route` usually take, in seconds; 0 if it is not known yet."""
         average = self._routes.get(route)
-        return average.value if average and average.count >= ROUTE_ANSWERS else 0.0
+        return average.value if average and average.count >= MIN_ROUTE_ANSWERS else 0.0
 
-    def take_time(self, seconds, route=""):
+    def record_duration(self, seconds, route=""):
         """Note how long an answered call took; a very long one counts in part."""
-        self._usual.add(min(seconds, OUTLIER * self._usual.value))
+        self._usual.add(min(seconds, OUTLIER_FACTOR * self._usual.value))
         average = self._routes.get(route)
         if average is None:
-            if len(self._routes) >= ROUTES_MOST:
+            if len(self._routes) >= MAX_ROUTES:
                 self._routes.clear()
-            average = self._routes[route] = TimedAverage(seconds, USUAL_SECONDS)
-        average.add(min(seconds, HEDGE_LATE * average.value))
+            average = self._routes[route] = TimedAverage(seconds, AVERAGING_SECONDS)
+        average.add(min(seconds, LATE_HEDGE_DELAY_FACTOR * average.value))
 
     def hedge_delay(self, call):
         """Return after how many seconds a second attempt at `call` makes sense.
@@ -123,8 +123,8 @@
         """
         usual = self.route_seconds(call.route)
         if not call.objective_at or call.objective_at >= call.deadline or not usual:
-            return max(HEDGE_LEAST_SECONDS, HEDGE_AFTER * self.usual_seconds)
+            return max(MIN_HEDGE_DELAY_SECONDS, HEDGE_DELAY_FACTOR * self.usual_seconds)
         left = call.objective_at - now()
-        if left < (HEDGE_NOT_BEFORE + HEDGE_QUICK) * usual:
-            return HEDGE_LATE * usual
-        return max(left - HEDGE_ROOM * usual, HEDGE_NOT_BEFORE * usual)
+        if left < (MIN_HEDGE_DELAY_FACTOR + FAST_ANSWER_FACTOR) * usual:
+            return LATE_HEDGE_DELAY_FACTOR * usual
+        return max(left - HEDGE_MARGIN_FACTOR * usual, MIN_HEDGE_DELAY_FACTOR * usual)
--- a/caperstack/routing/split.py
+++ b/caperstack/routing/split.py
@@ -3,7 +3,7 @@
 __all__ = ["Splitter"]
 
 #: Routes whose counts are kept; a configuration has a few hundred that split.
-ROUTES_MOST = 1000
+MAX_ROUTES = 1000
 
 
 class Splitter:
@@ -33,7 +33,7 @@
         key = (route.host, route.path, route.parts)
         credits = self._credits.get(key)
         if credits is None:
-            if len(self._credits) >= ROUTES_MOST:
+            if len(self._credits) >= MAX_ROUTES:
                 self._credits.clear()
             credits = self._credits[key] = dict.fromkeys((p.service for p in route.parts), 0.0)
         for part in route.parts:
--- a/caperstack/routing/tests/test_dispatch.py
+++ b/caperstack/routing/tests/test_dispatch.py
@@ -50,7 +50,7 @@
         pass
 
 
-class World:
+class DispatcherFixture:
     """A dispatcher among members whose owners are fakes."""
 
     def __init__(self, *owners, zones="aaaaaaaa", **settings):
@@ -107,22 +107,22 @@
 
     def test_refusal_moves_it(self):
         first, second = FakeOwner(NotRun("full")), FakeOwner(GOOD)
-        self.assertEqual(World(first, second).dispatch(), GOOD)
+        self.assertEqual(DispatcherFixture(first, second).dispatch(), GOOD)
         self.assertEqual((len(first.calls), len(second.calls)), (1, 1))
 
     def test_unknown_ends_it(self):
         first, second = FakeOwner(Unknown("backend server died")), FakeOwner(GOOD)
-        self.assertIsInstance(World(first, second).dispatch(), Unknown)
+        self.assertIsInstance(DispatcherFixture(first, second).dispatch(), Unknown)
         self.assertEqual(second.calls, [])
 
     def test_server_error_is_its_answer(self):
         first, second = FakeOwner(BAD), FakeOwner(GOOD)
-        self.assertEqual(World(first, second).dispatch(), BAD)
+        self.assertEqual(DispatcherFixture(first, second).dispatch(), BAD)
         self.assertEqual(second.calls, [])
 
     def test_unsent_moves_it(self):
         first, second = FakeOwner(lost(sent=False)), FakeOwner(GOOD)
-        self.assertEqual(World(first, second).dispatch(), GOOD)
+        self.assertEqual(DispatcherFixture(first, second).dispatch(), GOOD)
 
     def test_lost_connection_is_resolved(self):
         # The connection to the owner breaks with a sweep in flight.  Revoked
@@ -134,18 +134,18 @@
             (Unknown("owner is gone"), Unknown("owner is gone"), 0),
         ):
             first, second = FakeOwner(lost(), resolved=resolved), FakeOwner(GOOD)
-            self.assertEqual(World(first, second).dispatch(), outcome)
+            self.assertEqual(DispatcherFixture(first, second).dispatch(), outcome)
             self.assertEqual(len(second.calls), moved)
 
     def test_when_all_refuse_it_waits_at_the_best(self):
         owners = [FakeOwner(NotRun("full"), GOOD), FakeOwner(NotRun("full"))]
-        self.assertEqual(World(*owners).dispatch(), GOOD)
+        self.assertEqual(DispatcherFixture(*owners).dispatch(), GOOD)
         self.assertTrue(owners[0].calls[-1].last)
         self.assertFalse(owners[0].calls[0].last)
 
     def test_refusals_are_bounded(self):
         owners = [FakeOwner(NotRun("full")) for _ in range(8)]
-        self.assertIsInstance(World(*owners, refusals_per_call=2).dispatch(), NotRun)
+        self.assertIsInstance(DispatcherFixture(*owners, refusals_per_call=2).dispatch(), NotRun)
         self.assertEqual(sum(len(owner.calls) for owner in owners), 3)
 
 
@@ -156,17 +156,19 @@
         # One attempt got lost and may have run, the next is refused.  "Not
         # run" would be false.
         owners = [FakeOwner(Unknown("lost")), FakeOwner(NotRun("full"))]
-        self.assertIsInstance(World(*owners, hedge_share=0.0).dispatch(True), Unknown)
+        self.assertIsInstance(DispatcherFixture(*owners, hedge_share=0.0).dispatch(True), Unknown)
 
     def test_budget_bounds_repeats(self):
-        world = World(FakeOwner(Unknown("lost")), FakeOwner(Unknown("lost")), hedge_share=0.0)
+        world = DispatcherFixture(
+            FakeOwner(Unknown("lost")), FakeOwner(Unknown("lost")), hedge_share=0.0
+        )
         for _ in range(100):
             world.dispatch(True)
         self.assertLessEqual(world.counts["retries"], 2 + 100 * 0.1)
 
     def test_hedge_answers_and_the_loser_is_cancelled(self):
         slow, quick = FakeOwner(hangs), FakeOwner(GOOD)
-        self.assertEqual(World(slow, quick, hedge_share=0.5).dispatch(True), GOOD)
+        self.assertEqual(DispatcherFixture(slow, quick, hedge_share=0.5).dispatch(True), GOOD)
         self.assertEqual(slow.cancelled, 1)
 
     def test_hedge_that_fails_leaves_the_first(self):
@@ -174,7 +176,7 @@
             await asyncio.sleep(0.3)
             return GOOD
 
-        world = World(FakeOwner(late), FakeOwner(NotRun("full")), hedge_share=0.5)
+        world = DispatcherFixture(FakeOwner(late), FakeOwner(NotRun("full")), hedge_share=0.5)
         self.assertEqual(world.dispatch(True), GOOD)
 
 
@@ -183,7 +185,7 @@
 
     def test_leaving_member_gets_nothing(self):
         first, second = FakeOwner(GOOD), FakeOwner(GOOD)
-        world = World(first, second)
+        world = DispatcherFixture(first, second)
         world.members[0].leaving_incarnation = 1
         world.dispatch()
         self.assertEqual(first.calls, [])
@@ -192,7 +194,7 @@
         # A node was cut off for a moment and holds everyone for dead.  It
         # must try them rather than turn its own fault into an outage.
         owners = [FakeOwner(GOOD) for _ in range(3)]
-        world = World(*owners)
+        world = DispatcherFixture(*owners)
         for member in world.members:
             member.estimate.mark_down()
             member.owner.usable = False
@@ -200,7 +202,7 @@
 
     def test_down_member_is_avoided(self):
         first, second = FakeOwner(GOOD), FakeOwner(GOOD)
-        world = World(first, second)
+        world = DispatcherFixture(first, second)
         world.members[0].estimate.update_load(Load(state=ServerState.DOWN))
         world.dispatch()
         self.assertEqual(first.calls, [])
@@ -233,7 +235,7 @@
     FATAL = Fingerprint(5, 1)
 
     def world(self, *owners, ends=0, **settings):
-        world = World(*owners, **settings)
+        world = DispatcherFixture(*owners, **settings)
         self.suspects = world.dispatcher._suspects
         self.suspects._events = mock.Mock()
         self.suspects.note_end(1, [Fingerprint(6, 1)])
@@ -317,19 +319,19 @@
     def test_lost_there_is_repeated_elsewhere(self):
         """No server was free, the one that took it loses the answer, and no other is asked."""
         first, second = FakeOwner(Unknown("connection closed")), FakeOwner(GOOD)
-        world = World(first, second, refusals_per_call=0)
+        world = DispatcherFixture(first, second, refusals_per_call=0)
         self.assertEqual(world.dispatch(idempotent=True), GOOD)
         self.assertEqual((len(first.calls), len(second.calls)), (1, 1))
 
     def test_booking_that_is_lost_there_is_not_repeated(self):
         first, second = FakeOwner(Unknown("connection closed")), FakeOwner(GOOD)
-        world = World(first, second, refusals_per_call=0)
+        world = DispatcherFixture(first, second, refusals_per_call=0)
         self.assertIsInstance(world.dispatch(), Unknown)
         self.assertEqual(second.calls, [])
 
     def test_refusal_there_is_final(self):
         first, second = FakeOwner(NotRun("no slot in time")), FakeOwner(GOOD)
-        world = World(first, second, refusals_per_call=0)
+        world = DispatcherFixture(first, second, refusals_per_call=0)
         self.assertIsInstance(world.dispatch(idempotent=True), NotRun)
         self.assertEqual(second.calls, [])
 
@@ -340,7 +342,7 @@
     def test_no_call_goes_to_an_evacuated_zone(self):
         """A zone is evacuated and its quick servers go on getting calls."""
         quick, slow = FakeOwner(GOOD), FakeOwner(GOOD)
-        world = World(quick, slow, zones="ab")
+        world = DispatcherFixture(quick, slow, zones="ab")
         world.known.evacuated = frozenset("a")
         for _ in range(20):
             self.assertEqual(world.dispatch(), GOOD)
@@ -349,7 +351,7 @@
     def test_zone_that_is_back_gets_calls(self):
         """A zone is taken back and its servers stay idle."""
         quick, slow = FakeOwner(GOOD), FakeOwner(GOOD)
-        world = World(quick, slow, zones="ab")
+        world = DispatcherFixture(quick, slow, zones="ab")
         world.known.evacuated = frozenset("a")
         world.dispatch()
         world.known.evacuated = frozenset()
@@ -359,7 +361,7 @@
     def test_all_zones_evacuated_is_told_at_once_with_a_time_to_return(self):
         """Nothing may run, and the caller waits for its deadline or hears no reason."""
         owner = FakeOwner(GOOD)
-        world = World(owner)
+        world = DispatcherFixture(owner)
         world.known.evacuated = frozenset("a")
         outcome = world.dispatch()
         self.assertEqual(outcome.reason, "every zone of the service is evacuated")
@@ -375,6 +377,6 @@
             return NotRun("zone is evacuated", 0.0)
 
         waits._outcomes = [evacuated]
-        world = World(waits, other, zones="ab", refusals_per_call=0)
+        world = DispatcherFixture(waits, other, zones="ab", refusals_per_call=0)
         self.assertEqual(world.dispatch(), GOOD)
         self.assertEqual((len(waits.calls), len(other.calls)), (1, 1))
--- a/caperstack/routing/tests/test_service.py
+++ b/caperstack/routing/tests/test_service.py
@@ -53,7 +53,7 @@
         budget = allowance.budget(1)
         for _ in range(1000):
             budget.deposit(1.0)
-        allowance.share_out(budget, 800)
+        allowance.rebalance(budget, 800)
         self.assertEqual(sum(budget.withdraw() for _ in range(50)), 2)
 
     def test_time_alone_fills_up_to_the_reserve(self):
@@ -72,7 +72,7 @@
         self.enterContext(mock.patch("caperstack.routing.service.now", lambda: 100.0))
         self.state = ServiceState("load_aware", CallBudget())
         for _ in range(20):
-            self.state.take_time(0.2, "route")
+            self.state.record_duration(0.2, "route")
 
     def delay(self, objective):
         call = Call(0, "h", "r", "s", "GET", "/", [], b"", 110.0, True, route="route")
