--- a/caperstack/operators/port.py
+++ b/caperstack/operators/port.py
@@ -104,7 +104,7 @@
         ]
 
     def _expected_ms(self, member):
-        usual = self._dispatcher.usual_seconds(member.service)
+        usual = self._dispatcher.baseline_seconds(member.service)
         return round(member.estimate.expected_seconds(usual) * 1000, 3)
 
     def settings_in_words(self):
--- a/caperstack/routing/candidates.py
+++ b/caperstack/routing/candidates.py
@@ -5,7 +5,7 @@
 from caperstack.membership.subset import Subset
 from caperstack.routing.policies import Context, choose
 
-__all__ = ["Candidates", "PATIENCE", "usual_seconds"]
+__all__ = ["Candidates", "QUEUE_WAIT_FACTOR", "baseline_seconds"]
 
 #: How long an owner may hold a call before it is better moved on, in usual
 #: service times; the last try may wait until its deadline.
@@ -91,20 +91,20 @@
         brings the owner's exact load, so the next call knows and does not ask.
         """
         members = self._accepting(call)
-        usual = usual_seconds(members, state)
+        baseline = baseline_seconds(members, state)
         return [
             member
             for member in members
             if member not in tried
             and not member.estimate.slowed
-            and member.estimate.expected_wait(usual) <= QUEUE_WAIT_FACTOR * usual
+            and member.estimate.expected_wait(baseline) <= QUEUE_WAIT_FACTOR * baseline
         ]
 
     def _choose(self, state, members):
         if not members:
             return None
-        usual = usual_seconds(members, state)
-        context = Context(self._here.zone, self._here.region, usual, self._rng)
+        baseline = baseline_seconds(members, state)
+        context = Context(self._here.zone, self._here.region, baseline, self._rng)
         return choose(state.policy, self._fit(members), context)
 
     def _fit(self, members):
@@ -126,7 +126,7 @@
         return healthy or usable
 
 
-def usual_seconds(members, state):
+def baseline_seconds(members, state):
     """Return the service time that most of `members` have, in seconds.
 
     Notes
@@ -141,4 +141,4 @@
         for m in members
         if m.estimate.reported_service_seconds is not None
     )
-    return told[(len(told) - 1) // 2] if told else state.usual_seconds
+    return told[(len(told) - 1) // 2] if told else state.baseline_seconds
--- a/caperstack/routing/dispatch.py
+++ b/caperstack/routing/dispatch.py
@@ -10,7 +10,7 @@
 from caperstack.quarantine.suspects import Verdict
 from caperstack.routing.budgets import CallBudget, share_at_depth
 from caperstack.routing.candidates import QUEUE_WAIT_FACTOR, Candidates
-from caperstack.routing.service import INITIAL_USUAL_SECONDS, Attempts, ServiceState
+from caperstack.routing.service import INITIAL_BASELINE_SECONDS, Attempts, ServiceState
 
 __all__ = ["Dispatcher"]
 
@@ -46,10 +46,10 @@
         self._suspects = kernel.find("suspects")
         self.candidates.start(self._members, self._metrics)
 
-    def usual_seconds(self, service):
+    def baseline_seconds(self, service):
         """Return the usual time of a call of `service`, in seconds."""
         state = self._services.get(service)
-        return INITIAL_USUAL_SECONDS if state is None else state.usual_seconds
+        return INITIAL_BASELINE_SECONDS if state is None else state.baseline_seconds
 
     async def stop(self):
         """Nothing to stop."""
@@ -167,7 +167,7 @@
             # Failure: a call that has ended two servers is taken to a third.
             self._events.decision("entry may not repeat", call, outcome="suspect")
             return False
-        if time_left(call.deadline) < state.usual_seconds:
+        if time_left(call.deadline) < state.baseline_seconds:
             return False
         if not state.retries.withdraw():
             self._metrics.count("retries_denied", service=call.service)
@@ -183,7 +183,7 @@
         attempt.last = last or len(self._members.of_service(call.service)) < 2
         attempt.queue_until = call.deadline
         if not attempt.last:
-            patience = deadline_after(QUEUE_WAIT_FACTOR * state.usual_seconds)
+            patience = deadline_after(QUEUE_WAIT_FACTOR * state.baseline_seconds)
             attempt.queue_until = min(call.deadline, patience)
         begun = attempt.sent_at = now()
         call.notes.append((begun, f"to {member.host}"))
@@ -194,7 +194,7 @@
             to=member.host,
             last=attempt.last,
             own_in_flight=estimate.in_flight,
-            expected_ms=round(estimate.expected_seconds(state.usual_seconds) * 1000),
+            expected_ms=round(estimate.expected_seconds(state.baseline_seconds) * 1000),
             load_age_ms=estimate.age_ms,
         )
         estimate.begin()
@@ -268,7 +268,7 @@
     async def _race(self, call, state, settings, bounds, first):
         self._metrics.count("hedges", service=call.service)
         call.notes.append((now(), "hedged"))
-        self._events.decision("entry hedges", call, usual_ms=round(state.usual_seconds * 1000))
+        self._events.decision("entry hedges", call, usual_ms=round(state.baseline_seconds * 1000))
         second = asyncio.ensure_future(
             self._try_sequentially(call, state, settings, *bounds, queues=False)
         )
--- a/caperstack/routing/estimates.py
+++ b/caperstack/routing/estimates.py
@@ -15,7 +15,7 @@
 PACE_SECONDS = 2.0
 
 #: How much a full server without a queue counts worse than an empty one.
-UTILISATION_PENALTY = 0.2
+OCCUPANCY_PENALTY = 0.2
 
 #: A service time counts as slowed from this many usual ones on; less is chance.
 SLOW_SERVICE_FACTOR = 2.5
@@ -131,12 +131,12 @@
         """Return the trust in what was heard, fading from 1 to 0 over `seconds`."""
         return _remaining_weight(self._reported_at, seconds)
 
-    def expected_seconds(self, usual):
+    def expected_seconds(self, baseline):
         """Return the expected seconds from arrival to answer.
 
         Parameters
         ----------
-        usual : float
+        baseline : float
             The service's usual time in seconds, which stands in where no
             report is trusted any more.
 
@@ -146,28 +146,28 @@
         calls are known exactly.  A server that nobody called lately drifts
         back to the usual time, so it is tried again.
         """
-        utilisation = self._utilisation()
+        occupancy = self._occupancy()
         usable = max(0.05, 1.0 - self.failing)
-        service = self._service_seconds(usual)
-        preference = UTILISATION_PENALTY * min(1.0, utilisation)
+        service = self._service_seconds(baseline)
+        preference = OCCUPANCY_PENALTY * min(1.0, occupancy)
         held = VISIT_SECONDS if self.slowed else 0.0
         if self.state == ServerState.COLD:
-            held += COLD_PENALTY_FACTOR * usual
-        return held + service * (max(1.0, utilisation) + preference) / usable**2
+            held += COLD_PENALTY_FACTOR * baseline
+        return held + service * (max(1.0, occupancy) + preference) / usable**2
 
-    def expected_wait(self, usual):
+    def expected_wait(self, baseline):
         """Return the expected seconds from arrival until a slot is free."""
-        return self._service_seconds(usual) * max(0.0, self._utilisation() - 1.0)
+        return self._service_seconds(baseline) * max(0.0, self._occupancy() - 1.0)
 
-    def _service_seconds(self, usual):
+    def _service_seconds(self, baseline):
         # Failure: with heavy-tailed service times the averages of equal servers
         # differ by half from moment to moment; all entries ran to the one that
         # looked quickest and queued there while the others had free slots.
         told = self._load.service_us / 1e6
-        if told < SLOW_SERVICE_FACTOR * usual:
-            return usual
+        if told < SLOW_SERVICE_FACTOR * baseline:
+            return baseline
         trust = self._trust(SERVICE_SECONDS)
-        return trust * told + (1 - trust) * usual
+        return trust * told + (1 - trust) * baseline
 
     def _pace(self):
         # An owner tells each change of its host's pace at once, so the last
@@ -176,7 +176,7 @@
             return 1.0
         return self._load.pace / 100
 
-    def _utilisation(self):
+    def _occupancy(self):
         # Failure: nothing is known lately of a server that has become slow, so
         # it looks free, and each entry sends it a dozen calls before the first
         # answer tells.  Until something is heard, two calls make it look full.
--- a/caperstack/routing/policies.py
+++ b/caperstack/routing/policies.py
@@ -32,7 +32,7 @@
 
     zone: str
     region: str
-    usual_seconds: float
+    baseline_seconds: float
     rng: object
 
 
@@ -119,8 +119,8 @@
 @choose.register
 def _(policy: LoadAware, members, context):
     sample = members if len(members) <= SAMPLE_SIZE else context.rng.sample(members, SAMPLE_SIZE)
-    usual = context.usual_seconds
-    scores = [m.estimate.expected_seconds(usual) + _hop_seconds(m, context) for m in sample]
+    baseline = context.baseline_seconds
+    scores = [m.estimate.expected_seconds(baseline) + _hop_seconds(m, context) for m in sample]
     bound = min(scores) * NEAR_BEST_FACTOR
     near = [m for m, score in zip(sample, scores, strict=True) if score <= bound]
     # Among equals the own zone: bytes between zones are paid for.
--- a/caperstack/routing/service.py
+++ b/caperstack/routing/service.py
@@ -8,10 +8,10 @@
 from caperstack.routing.budgets import CallBudget
 from caperstack.routing.policies import policy_named
 
-__all__ = ["FIRST_USUAL_SECONDS", "Attempts", "ServiceState"]
+__all__ = ["INITIAL_BASELINE_SECONDS", "Attempts", "ServiceState"]
 
 #: The usual time of a service before its first answer, in seconds.
-INITIAL_USUAL_SECONDS = 0.02
+INITIAL_BASELINE_SECONDS = 0.02
 
 #: The time over which the usual times follow, in seconds, and how many times
 #: longer than usual a call may count.
@@ -81,19 +81,19 @@
         self.retries = retries
         self.hedges = hedges or CallBudget()
         self.allowance_version = -1
-        self._usual = TimedAverage(INITIAL_USUAL_SECONDS, AVERAGING_SECONDS)
+        self._baseline = TimedAverage(INITIAL_BASELINE_SECONDS, AVERAGING_SECONDS)
         self._routes = {}
 
     @property
-    def usual_seconds(self):
+    def baseline_seconds(self):
         """How long a call usually takes, in seconds."""
-        return self._usual.value
+        return self._baseline.value
 
     def assume_duration(self, call):
         """Take the guess at the work of `call` for usual until the first answer."""
         guess = guessed_seconds(call)
         if guess:
-            self._usual.assume(guess)
+            self._baseline.assume(guess)
 
     def route_seconds(self, route):
         """How long calls of `route` usually take, in seconds; 0 if it is not known yet."""
@@ -102,7 +102,7 @@
 
     def record_duration(self, seconds, route=""):
         """Note how long an answered call took; a very long one counts in part."""
-        self._usual.add(min(seconds, OUTLIER_FACTOR * self._usual.value))
+        self._baseline.add(min(seconds, OUTLIER_FACTOR * self._baseline.value))
         average = self._routes.get(route)
         if average is None:
             if len(self._routes) >= MAX_ROUTES:
@@ -121,10 +121,10 @@
         still be in time rescues most of them; sooner, it would repeat calls
         that are only a little slower than usual.
         """
-        usual = self.route_seconds(call.route)
-        if not call.objective_at or call.objective_at >= call.deadline or not usual:
-            return max(MIN_HEDGE_DELAY_SECONDS, HEDGE_DELAY_FACTOR * self.usual_seconds)
+        baseline = self.route_seconds(call.route)
+        if not call.objective_at or call.objective_at >= call.deadline or not baseline:
+            return max(MIN_HEDGE_DELAY_SECONDS, HEDGE_DELAY_FACTOR * self.baseline_seconds)
         left = call.objective_at - now()
-        if left < (MIN_HEDGE_DELAY_FACTOR + FAST_ANSWER_FACTOR) * usual:
-            return LATE_HEDGE_DELAY_FACTOR * usual
-        return max(left - HEDGE_MARGIN_FACTOR * usual, MIN_HEDGE_DELAY_FACTOR * usual)
+        if left < (MIN_HEDGE_DELAY_FACTOR + FAST_ANSWER_FACTOR) * baseline:
+            return LATE_HEDGE_DELAY_FACTOR * baseline
+        return max(left - HEDGE_MARGIN_FACTOR * baseline, MIN_HEDGE_DELAY_FACTOR * baseline)
