--- a/caperstack/admission/execution.py
+++ b/caperstack/admission/execution.py
@@ -3,7 +3,7 @@
 from caperstack.calls.model import NotRun, Unknown
 from caperstack.clock import now, time_left
 from caperstack.exception import BackendError
-from caperstack.quarantine.crash import Left
+from caperstack.quarantine.crash import BackendResult
 
 __all__ = ["Execution"]
 
@@ -27,7 +27,7 @@
         Learns how many fail.
     standing : caperstack.admission.standing.ServerStanding
         The instance that calls are meant for; learns that it answers.
-    watch : caperstack.quarantine.crash.CrashWatch
+    watch : caperstack.quarantine.crash.CrashDetector
         Knows what is at work, and learns of lost connections.
     """
 
@@ -64,15 +64,15 @@
             pace=round(self._pace.value, 2),
         )
         counts = False
-        left = Left.UNANSWERED
+        left = BackendResult.UNANSWERED
         begun = now()
         self._watch.begin(call)
         try:
             answer = await self._client.fetch(call, self._standing.instance)
             if isinstance(answer, NotRun):
-                left = Left.NOT_RUN
+                left = BackendResult.NOT_RUN
                 return answer
-            left = Left.ANSWERED
+            left = BackendResult.ANSWERED
             counts = answer.status < 500 or answer.status == GATEWAY_TIMEOUT
             self._metrics.time("backend_seconds", now() - begun, call.service)
             self._standing.note_answer()
@@ -85,7 +85,7 @@
             # shows no time at all, looks as quick as ever, and draws calls.
             counts = time_left(call.deadline) <= 0
             self._failures.add(True)
-            left = Left.UNANSWERED if error.sent else Left.NOT_RUN
+            left = BackendResult.UNANSWERED if error.sent else BackendResult.NOT_RUN
             end = await self._watch.lost(call) if error.sent and not counts else None
             return self._failure(call, error, end)
         finally:
--- a/caperstack/admission/follower.py
+++ b/caperstack/admission/follower.py
@@ -8,7 +8,7 @@
 from caperstack.admission.pace import FIRST_READING_SECONDS, HostPace
 from caperstack.admission.standing import ServerStanding
 from caperstack.calls.model import Load, ServerState
-from caperstack.quarantine.crash import CrashWatch
+from caperstack.quarantine.crash import CrashDetector
 
 __all__ = ["ServerFollower"]
 
@@ -37,7 +37,7 @@
         self._listeners = []
         self._failures = FailureShare()
         self._published = 0
-        self._watch = CrashWatch(client, self._standing)
+        self._watch = CrashDetector(client, self._standing)
         self._watch.listen(self._on_end)
         self._refresh = None
         self._metrics = None
@@ -128,7 +128,7 @@
     def hear_instance(self, instance):
         """Note which instance has answered; another one holds the address of one that ended."""
         if instance == self._standing.instance:
-            self._watch.note_life()
+            self._watch.record_response()
         if instance and self._standing.instance:
             self.set_state(self._standing.set_gone(instance != self._standing.instance))
 
@@ -171,7 +171,7 @@
         self._events.state("instance", standing.instance, f"{instance} of {service}, {born_ms}")
         first = not standing.instance
         if not first:
-            self._watch.started_anew()
+            self._watch.on_server_restart()
         moved = standing.service not in ("", service)
         standing.instance = instance
         standing.born_ms = born_ms
--- a/caperstack/quarantine/crash.py
+++ b/caperstack/quarantine/crash.py
@@ -10,24 +10,24 @@
 from caperstack.clock import deadline_after, now, wall_microseconds
 from caperstack.membership.order import hash_number
 
-__all__ = ["CrashWatch", "Left", "ServerEnd", "Work"]
+__all__ = ["BackendResult", "CrashDetector", "PendingCall", "ServerCrash"]
 
 #: How long the question waits whether the backend server still listens, in
 #: seconds; on its own host a connection takes 0.2 ms, and so does its refusal.
-ASK_SECONDS = 0.05
+PROBE_TIMEOUT_SECONDS = 0.05
 
 #: Calls without an answer that may be at work still: the latest until the server's
 #: last sign of life, twice the slots of the largest backend server of the sheets,
 #: and the first ones after it.  What comes later to a server that has gone silent
 #: did not make it so.
-UNANSWERED_MOST = 36
+MAX_UNANSWERED = 36
 
 #: Bits of an end's number that tell it apart from others of the same microsecond;
 #: with the wall clock before them the number fits into 64.
-CHANCE_BITS = 12
+HASH_BITS = 12
 
 
-class Left(IntEnum):
+class BackendResult(IntEnum):
     """What a call has left at the backend server when it is over for its owner."""
 
     #: Nothing, and the server lives.
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class PendingCall:
     """What is kept of a call that is at work; its body is not, which may be large."""
 
     origin: str
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerEnd:
+class ServerCrash:
     """A backend server that ended while calls were at work.
 
     Attributes
@@ -65,7 +65,7 @@
     instance : str
         The instance that ended.
     works : dict
-        The `Work` of each call that was at work, by entry and number.
+        The `PendingCall` of each call that was at work, by entry and number.
     """
 
     number: int
@@ -73,7 +73,7 @@
     works: dict
 
 
-class CrashWatch:
+class CrashDetector:
     """Knows what is at work at one backend server, and notices when it ends.
 
     Parameters
@@ -95,21 +95,21 @@
     def __init__(self, client, standing):
         self._client = client
         self._standing = standing
-        self._at_work = {}
+        self._running = {}
         self._unanswered = deque()
-        self._alive_at = now()
-        self._asking = None
-        self._last = None
-        self._ended = False
+        self._last_response_at = now()
+        self._probe_task = None
+        self._last_crash = None
+        self._crash_recorded = False
         self._listeners = []
 
     def listen(self, listener):
-        """Call ``listener(end)`` with each `ServerEnd`."""
+        """Call ``listener(end)`` with each `ServerCrash`."""
         self._listeners.append(listener)
 
     def begin(self, call):
         """`call` goes to the backend server."""
-        self._at_work[call.origin, call.id] = Work.of(call)
+        self._running[call.origin, call.id] = PendingCall.of(call)
 
     def finish(self, call, left):
         """`call` is over here; `left` tells what it has left at the backend server.
@@ -120,70 +120,75 @@
         the server works on, and ends of it.  Nothing that was known to be at work
         would bear the blame, and others would.
         """
-        work = self._at_work.pop((call.origin, call.id), None)
-        if left == Left.ANSWERED:
-            self.note_life()
-        elif left == Left.UNANSWERED and work and len(self._unanswered) < 2 * UNANSWERED_MOST:
+        work = self._running.pop((call.origin, call.id), None)
+        if left == BackendResult.ANSWERED:
+            self.record_response()
+        elif (
+            left == BackendResult.UNANSWERED and work and len(self._unanswered) < 2 * MAX_UNANSWERED
+        ):
             self._unanswered.append(work)
 
-    def note_life(self):
+    def record_response(self):
         """The backend server has answered something: what is over by now did not end it."""
-        self._alive_at = now()
-        self._ended = False
+        self._last_response_at = now()
+        self._crash_recorded = False
         while self._unanswered and (
-            self._unanswered[0].deadline < self._alive_at or len(self._unanswered) > UNANSWERED_MOST
+            self._unanswered[0].deadline < self._last_response_at
+            or len(self._unanswered) > MAX_UNANSWERED
         ):
             self._unanswered.popleft()
 
     async def lost(self, call):
-        """Return the `ServerEnd` that took `call`, or ``None`` if the server lives."""
-        if not self._took(call):
-            if self._asking is None:
-                self._asking = asyncio.create_task(self._ask())
-            await asyncio.shield(self._asking)
-        return self._last if self._took(call) else None
+        """Return the `ServerCrash` that took `call`, or ``None`` if the server lives."""
+        if not self._includes(call):
+            if self._probe_task is None:
+                self._probe_task = asyncio.create_task(self._probe())
+            await asyncio.shield(self._probe_task)
+        return self._last_crash if self._includes(call) else None
 
-    def _took(self, call):
-        return self._last is not None and (call.origin, call.id) in self._last.works
+    def _includes(self, call):
+        return self._last_crash is not None and (call.origin, call.id) in self._last_crash.works
 
-    async def _ask(self):
+    async def _probe(self):
         try:
-            listens = await self._client.listens(deadline_after(ASK_SECONDS))
+            listens = await self._client.listens(deadline_after(PROBE_TIMEOUT_SECONDS))
         finally:
-            self._asking = None
+            self._probe_task = None
         if listens is False and not self._leaves:
-            self._end()
+            self._record_crash()
 
     @property
     def _leaves(self):
         return self._standing.state in (ServerState.LEAVING, ServerState.STOPPING)
 
-    def started_anew(self):
+    def on_server_restart(self):
         """Another start of the backend server is listed: what the last one ran ended with it."""
         if self._leaves:
             self._unanswered.clear()
-        self._end()
-        self._ended = False
+        self._record_crash()
+        self._crash_recorded = False
 
-    def _number(self, work):
+    def _crash_number(self, work):
         name = f"{self._standing.instance}@{self._standing.born_ms} {work.origin} {work.number}"
-        return wall_microseconds() << CHANCE_BITS | hash_number(name) >> (64 - CHANCE_BITS)
+        return wall_microseconds() << HASH_BITS | hash_number(name) >> (64 - HASH_BITS)
 
-    def _end(self):
+    def _record_crash(self):
         # Failure: a server goes silent without breaking a connection, and its
         # calls are given up long before another start of it is listed.  What it
         # was at work on is what was out at its last sign of life.
-        works = [work for work in self._unanswered if work.deadline > self._alive_at]
-        works += self._at_work.values()
+        works = [work for work in self._unanswered if work.deadline > self._last_response_at]
+        works += self._running.values()
         self._unanswered.clear()
-        self._at_work.clear()
-        if not works or self._ended:
+        self._running.clear()
+        if not works or self._crash_recorded:
             # Failure: calls that were sent to the address after the end, and met
             # the next start before the list names it, make a second end of one;
             # what was at work at two ends would have three to its name.
             return
-        self._ended = True
+        self._crash_recorded = True
         by_number = {(work.origin, work.number): work for work in works}
-        self._last = ServerEnd(self._number(works[0]), self._standing.instance, by_number)
+        self._last_crash = ServerCrash(
+            self._crash_number(works[0]), self._standing.instance, by_number
+        )
         for listener in self._listeners:
-            listener(self._last)
+            listener(self._last_crash)
--- a/caperstack/quarantine/tests/test_crash.py
+++ b/caperstack/quarantine/tests/test_crash.py
@@ -7,7 +7,7 @@
 
 from caperstack.calls.model import Call, ServerState
 from caperstack.clock import deadline_after
-from caperstack.quarantine.crash import UNANSWERED_MOST, CrashWatch, Left
+from caperstack.quarantine.crash import MAX_UNANSWERED, CrashDetector, BackendResult
 
 
 def call(number, seconds=5.0):
@@ -15,13 +15,13 @@
 
 
 class TestCrashWatch(unittest.IsolatedAsyncioTestCase):
-    """`CrashWatch` beside a server that listens, or does not."""
+    """`CrashDetector` beside a server that listens, or does not."""
 
     def setUp(self):
         self.listening = False
         self.asked = 0
         self.standing = SimpleNamespace(state=ServerState.WARM, instance="i-1", born_ms=0)
-        self.watch = CrashWatch(self, self.standing)
+        self.watch = CrashDetector(self, self.standing)
         self.ends = []
         self.watch.listen(self.ends.append)
 
@@ -53,7 +53,7 @@
         answered, lost = call(1), call(2)
         for one in (answered, lost):
             self.watch.begin(one)
-        self.watch.finish(answered, Left.ANSWERED)
+        self.watch.finish(answered, BackendResult.ANSWERED)
         await self.watch.lost(lost)
         self.assertEqual(self.at_work(), [[2]])
 
@@ -63,8 +63,8 @@
         cancelled, over, lost = call(1), call(2, seconds=-1.0), call(3)
         for one in (cancelled, over, lost):
             self.watch.begin(one)
-        self.watch.finish(cancelled, Left.UNANSWERED)
-        self.watch.finish(over, Left.UNANSWERED)
+        self.watch.finish(cancelled, BackendResult.UNANSWERED)
+        self.watch.finish(over, BackendResult.UNANSWERED)
         await self.watch.lost(lost)
         self.assertEqual(self.at_work(), [[1, 3]])
 
@@ -78,7 +78,7 @@
         # A host loses its server without a word: nothing breaks the connections
         # and nothing refuses.  The next start shows that the calls died with it.
         self.watch.begin(call(1))
-        self.watch.started_anew()
+        self.watch.on_server_restart()
         self.assertEqual(self.at_work(), [[1]])
 
     async def test_calls_that_were_given_up_on_a_dark_server_bear_its_end(self):
@@ -86,17 +86,17 @@
         # so are many that were sent after it, until another start is listed.  The
         # first ones that were out when it last answered are to blame.
         culprit = call(1, seconds=0.02)
-        self.watch.note_life()
+        self.watch.record_response()
         self.watch.begin(culprit)
         await asyncio.sleep(0.03)
-        self.watch.finish(culprit, Left.UNANSWERED)
-        for number in range(2, 3 * UNANSWERED_MOST):
+        self.watch.finish(culprit, BackendResult.UNANSWERED)
+        for number in range(2, 3 * MAX_UNANSWERED):
             later = call(number, seconds=0.0)
             self.watch.begin(later)
-            self.watch.finish(later, Left.UNANSWERED)
-        self.watch.started_anew()
+            self.watch.finish(later, BackendResult.UNANSWERED)
+        self.watch.on_server_restart()
         self.assertEqual(self.at_work()[0][0], 1)
-        self.assertLessEqual(len(self.at_work()[0]), 2 * UNANSWERED_MOST)
+        self.assertLessEqual(len(self.at_work()[0]), 2 * MAX_UNANSWERED)
 
     async def test_refused_connection_is_no_sign_of_life(self):
         # The silent server is asked on: calls that get no connection, or are turned
@@ -104,19 +104,19 @@
         culprit = call(1, seconds=0.01)
         self.watch.begin(culprit)
         await asyncio.sleep(0.02)
-        self.watch.finish(culprit, Left.UNANSWERED)
+        self.watch.finish(culprit, BackendResult.UNANSWERED)
         later = call(2)
         self.watch.begin(later)
-        self.watch.finish(later, Left.NOT_RUN)
-        self.watch.started_anew()
+        self.watch.finish(later, BackendResult.NOT_RUN)
+        self.watch.on_server_restart()
         self.assertEqual(self.at_work(), [[1]])
 
     async def test_calls_that_were_over_when_the_server_answered_are_not_blamed(self):
         over = call(1, seconds=0.01)
         self.watch.begin(over)
-        self.watch.finish(over, Left.UNANSWERED)
+        self.watch.finish(over, BackendResult.UNANSWERED)
         await asyncio.sleep(0.02)
-        self.watch.note_life()
+        self.watch.record_response()
         lost = call(2)
         self.watch.begin(lost)
         await self.watch.lost(lost)
@@ -130,7 +130,7 @@
         await self.watch.lost(first)
         self.watch.begin(second)
         self.assertIsNone(await self.watch.lost(second))
-        self.watch.started_anew()
+        self.watch.on_server_restart()
         self.assertEqual(self.at_work(), [[1]])
         third = call(3)
         self.watch.begin(third)
@@ -142,7 +142,7 @@
             lost = call(number)
             self.watch.begin(lost)
             await self.watch.lost(lost)
-            self.watch.note_life()
+            self.watch.record_response()
         self.assertEqual(self.at_work(), [[1], [2]])
 
     async def test_bodies_of_calls_are_not_kept(self):
@@ -153,6 +153,6 @@
         large = call(1)
         large.body = body
         self.watch.begin(large)
-        self.watch.finish(large, Left.UNANSWERED)
+        self.watch.finish(large, BackendResult.UNANSWERED)
         del large
         self.assertEqual(sys.getrefcount(body), before)
