--- a/caperstack/admission/execution.py
+++ b/caperstack/admission/execution.py
@@ -78,7 +78,7 @@
             self._standing.note_answer()
             self._failures.add(answer.status >= 500)
             if answer.status < 500:
-                self._suspects.note_survival(call.fingerprint)
+                self._suspects.record_completion(call.fingerprint)
             return answer
         except BackendError as error:
             # Failure: a server so slow that no call ends before its deadline
@@ -99,5 +99,5 @@
         if not error.sent:
             return NotRun(f"backend server unreachable: {error.message}", 0.2)
         late = time_left(call.deadline) <= 0.002
-        blamed = end is not None and self._suspects.blames(end.number, call.fingerprint)
+        blamed = end is not None and self._suspects.implicates(end.number, call.fingerprint)
         return Unknown(error.message, 504 if late else 502, end.number if blamed else 0)
--- a/caperstack/admission/follower.py
+++ b/caperstack/admission/follower.py
@@ -196,7 +196,7 @@
 
     def _on_end(self, end):
         self._metrics.count("backend_ends")
-        self._suspects.note_end(end.number, [work.fingerprint for work in end.works.values()])
+        self._suspects.record_crash(end.number, [work.fingerprint for work in end.works.values()])
         self._events.belief(
             "backend server ended",
             instance=end.instance,
--- a/caperstack/admission/tests/test_owner.py
+++ b/caperstack/admission/tests/test_owner.py
@@ -583,7 +583,7 @@
         waiting = asyncio.create_task(self.owner.run(self.fatal(3)))
         await self.turn()
         for number in range(3):
-            self.suspects.note_end(number, [Fingerprint(5, 1)])
+            self.suspects.record_crash(number, [Fingerprint(5, 1)])
         self.client.answer(1)
         self.client.answer(2)
         await asyncio.gather(*busy)
@@ -593,7 +593,7 @@
     async def test_two_grave_suspects_are_not_at_work_at_once(self):
         # A bystander of two ends, beside the culprit once more, would have three.
         for number in range(2):
-            self.suspects.note_end(number, [Fingerprint(5, 1), Fingerprint(6, 1)])
+            self.suspects.record_crash(number, [Fingerprint(5, 1), Fingerprint(6, 1)])
         first = asyncio.create_task(self.owner.run(self.fatal(1)))
         await self.turn()
         second = await self.owner.run(self.fatal(2, request=6))
--- a/caperstack/platform/tests/test_suspect_growth.py
+++ b/caperstack/platform/tests/test_suspect_growth.py
@@ -32,12 +32,12 @@
     figures = []
     for number in range(3):
         node = fleet.nodes[number * size // 3]
-        node.suspects.note_end(100 + number, [FATAL, *BYSTANDERS])
+        node.suspects.record_crash(100 + number, [FATAL, *BYSTANDERS])
         traffic, _ = await fleet.measure(TOLD_SECONDS)
         messages, sent = (c["Suspicions"] / size for c in (traffic.messages, traffic.sizes))
         figures.append((messages, sent))
     verdicts = {node.suspects.verdict(FATAL) for node in fleet.nodes}
-    fleet.nodes[1].suspects.note_survival(BYSTANDERS[0])
+    fleet.nodes[1].suspects.record_completion(BYSTANDERS[0])
     traffic, _ = await fleet.measure(TOLD_SECONDS)
     cleared = {node.suspects.verdict(BYSTANDERS[0]) for node in fleet.nodes}
     started = Node(fleet, *fleet.places[0])
--- a/caperstack/quarantine/exchange.py
+++ b/caperstack/quarantine/exchange.py
@@ -11,7 +11,7 @@
 
 
 #: Requests that one line names, of those about which something is new.
-LOGGED_MOST = 20
+MAX_LOGGED_REQUESTS = 20
 
 
 class SuspectExchange:
@@ -28,7 +28,7 @@
     """
 
     def __init__(self):
-        self._news = {}
+        self._pending = {}
         self._suspects = None
         self._sync = None
         self._metrics = None
@@ -40,7 +40,7 @@
         self._sync = kernel.find("settings sync")
         self._metrics = kernel.find("metrics")
         self._events = kernel.find("events")
-        self._suspects.listen(self._on_news)
+        self._suspects.listen(self._on_change)
         kernel.find("links").hook(self)
         kernel.find("peer port").hook(self)
 
@@ -49,11 +49,11 @@
 
     def opened(self, _host, connection):
         """A connection is up, dialled by either side."""
-        grave = self._suspects.grave()
-        if not grave:
+        restricted = self._suspects.restricted()
+        if not restricted:
             return
         try:
-            connection.send(Suspicions([suspicion_message(one) for one in grave]))
+            connection.send(Suspicions([suspicion_message(one) for one in restricted]))
         except PeerError:
             # The next connection to that peer tells it again.
             self._metrics.count("unsent_notices")
@@ -74,17 +74,17 @@
         for item in message.items:
             self._suspects.take(suspicion_from(item), host)
 
-    def _on_news(self, request, source):
-        if not self._news:
-            asyncio.get_running_loop().call_soon(self._tell)
-        self._news[request] = source
+    def _on_change(self, request, source):
+        if not self._pending:
+            asyncio.get_running_loop().call_soon(self._send_pending)
+        self._pending[request] = source
 
-    def _tell(self):
-        news, self._news = self._news, {}
+    def _send_pending(self):
+        news, self._pending = self._pending, {}
         hosts = self._sync.told_of_news()
         self._events.belief(
             "suspects",
-            asks=[f"{request:016x}" for request in list(news)[:LOGGED_MOST]],
+            asks=[f"{request:016x}" for request in list(news)[:MAX_LOGGED_REQUESTS]],
             requests=len(news),
             sources=sorted(set(news.values())),
             told=len(hosts),
--- a/caperstack/quarantine/suspects.py
+++ b/caperstack/quarantine/suspects.py
@@ -7,36 +7,36 @@
 from caperstack.calls.model import NotRun
 from caperstack.clock import deadline_after, now, time_left
 
-__all__ = ["Clearing", "End", "Suspects", "Suspicion", "Verdict"]
+__all__ = ["Clearing", "Crash", "Suspects", "Suspicion", "Verdict"]
 
 #: Ends of backend servers at which a request was at work, from which on it runs alone
 #: among such requests, and from which on it is not sent at all.  A bystander is at
 #: one by chance, and at a second where it was repeated beside the culprit; run
 #: apart from then on, the culprit alone reaches the third.
-ALONE_FROM = 2
-QUARANTINED_FROM = 3
+MIN_CRASHES_ALONE = 2
+MIN_CRASHES_QUARANTINED = 3
 
 #: For how long a request is kept away after its third end, in seconds; twice as
 #: long after each further one, up to the longest.  It may then be tried again,
 #: alone: the trial costs a server and what runs there, and it ends the quarantine
 #: of a request whose fault was mended meanwhile.
 QUARANTINE_SECONDS = 300.0
-QUARANTINE_SECONDS_MOST = 3600.0
+MAX_QUARANTINE_SECONDS = 3600.0
 
 #: How long nothing may be heard of a suspect until it is forgotten, in seconds.
-FORGET_SECONDS = 7200.0
+SUSPECT_TTL_SECONDS = 7200.0
 
 #: A request that ran whole here within so many seconds before an end does not
 #: bear the blame for it.
-SURVIVED_SECONDS = 10.0
+COMPLETION_VALID_SECONDS = 10.0
 
 #: Requests that are remembered as having run whole; a node answers up to 60 a
 #: second, so a request that comes each second is always among them.
-SURVIVORS_MOST = 256
+MAX_COMPLETIONS = 256
 
 #: Suspects and ends of one that are kept: 200 kB at the most.
-SUSPECTS_MOST = 512
-ENDS_MOST = 8
+MAX_SUSPECTS = 512
+MAX_CRASHES_PER_SUSPECT = 8
 
 
 class Clearing(IntEnum):
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class Crash:
     """The end of a backend server, as it bears on one request.
 
     Attributes
@@ -90,7 +90,7 @@
 
     ends: dict = field(default_factory=dict)
     quarantined_until: float = 0.0
-    forget_at: float = 0.0
+    expires_at: float = 0.0
     told: int = Verdict.FREE
 
     def count(self, caller):
@@ -132,7 +132,7 @@
 
     def __init__(self):
         self._records = OrderedDict()
-        self._survivors = OrderedDict()
+        self._completions = OrderedDict()
         self._listeners = []
         self._events = None
         self._metrics = None
@@ -163,13 +163,13 @@
         record = self._records.get(fingerprint.request)
         if record is None:
             return Verdict.FREE
-        if now() > record.forget_at:
+        if now() > record.expires_at:
             del self._records[fingerprint.request]
             return Verdict.FREE
         count = record.count(fingerprint.caller)
-        if count >= QUARANTINED_FROM and now() < record.quarantined_until:
+        if count >= MIN_CRASHES_QUARANTINED and now() < record.quarantined_until:
             return Verdict.QUARANTINED
-        return Verdict.ALONE if count >= ALONE_FROM else Verdict.FREE
+        return Verdict.ALONE if count >= MIN_CRASHES_ALONE else Verdict.FREE
 
     def refusal(self, call):
         """Return the `NotRun` for a call that must not be sent, or ``None``."""
@@ -180,33 +180,34 @@
 
     # -- what is learnt ---------------------------------------------------
 
-    def note_end(self, number, fingerprints):
+    def record_crash(self, number, fingerprints):
         """A backend server ended while these requests were at work."""
         for fingerprint in fingerprints:
-            clearing = self._survived(fingerprint)
+            clearing = self._clearing_by_completions(fingerprint)
             if clearing != Clearing.ALL:
-                end = End(number, fingerprint.caller, clearing)
+                end = Crash(number, fingerprint.caller, clearing)
                 self.take(Suspicion(fingerprint.request, (end,)))
 
-    def blames(self, number, fingerprint):
+    def implicates(self, number, fingerprint):
         """Return whether that end speaks against a request."""
         record = self._records.get(fingerprint.request)
         return record is not None and number in record.ends
 
-    def note_survival(self, fingerprint):
+    def record_completion(self, fingerprint):
         """A request ran whole: no end until now was of its making."""
         if not fingerprint.request:
             return
-        until = deadline_after(SURVIVED_SECONDS)
+        until = deadline_after(COMPLETION_VALID_SECONDS)
         for key in (fingerprint, fingerprint.request):
-            self._survivors[key] = until
-            self._survivors.move_to_end(key)
-        while len(self._survivors) > 2 * SURVIVORS_MOST:
-            self._survivors.popitem(last=False)
+            self._completions[key] = until
+            self._completions.move_to_end(key)
+        while len(self._completions) > 2 * MAX_COMPLETIONS:
+            self._completions.popitem(last=False)
         record = self._records.get(fingerprint.request)
         if record is not None:
             ends = (
-                End(e.number, e.caller, self._cleared(e, fingerprint)) for e in record.ends.values()
+                Crash(e.number, e.caller, self._cleared(e, fingerprint))
+                for e in record.ends.values()
             )
             self.take(Suspicion(fingerprint.request, tuple(ends)))
 
@@ -215,12 +216,12 @@
         same = end.caller == fingerprint.caller
         return max(end.clearing, Clearing.ALL if same else Clearing.OTHERS)
 
-    def _survived(self, fingerprint):
+    def _clearing_by_completions(self, fingerprint):
         """Return the `Clearing` by runs that ended whole here a short while ago."""
         moment = now()
-        if self._survivors.get(fingerprint, 0.0) > moment:
+        if self._completions.get(fingerprint, 0.0) > moment:
             return Clearing.ALL
-        if self._survivors.get(fingerprint.request, 0.0) > moment:
+        if self._completions.get(fingerprint.request, 0.0) > moment:
             return Clearing.OTHERS
         return Clearing.NONE
 
@@ -236,25 +237,25 @@
             return False
         record = self._records.get(suspicion.request)
         held = {} if record is None else record.ends
-        ends = _union(held, suspicion.ends)
+        ends = _merge(held, suspicion.ends)
         if ends == held:
             return False
         if record is None:
             self._make_room()
             record = self._records[suspicion.request] = _Record()
         record.ends = ends
-        self._judge(suspicion.request, record, not ends.keys() <= held.keys(), source)
+        self._update_verdict(suspicion.request, record, not ends.keys() <= held.keys(), source)
         for listener in self._listeners:
             listener(suspicion.request, source)
         return True
 
-    def _judge(self, request, record, further, source):
-        record.forget_at = deadline_after(FORGET_SECONDS)
+    def _update_verdict(self, request, record, further, source):
+        record.expires_at = deadline_after(SUSPECT_TTL_SECONDS)
         self._records.move_to_end(request)
         count = record.worst
-        if further and count >= QUARANTINED_FROM:
-            seconds = QUARANTINE_SECONDS * 2 ** (count - QUARANTINED_FROM)
-            record.quarantined_until = deadline_after(min(QUARANTINE_SECONDS_MOST, seconds))
+        if further and count >= MIN_CRASHES_QUARANTINED:
+            seconds = QUARANTINE_SECONDS * 2 ** (count - MIN_CRASHES_QUARANTINED)
+            record.quarantined_until = deadline_after(min(MAX_QUARANTINE_SECONDS, seconds))
         told, record.told = record.told, _verdict_at(count)
         if record.told != told:
             self._events.belief(
@@ -269,9 +270,9 @@
             )
 
     def _make_room(self):
-        if len(self._records) < SUSPECTS_MOST:
+        if len(self._records) < MAX_SUSPECTS:
             return
-        light = (r for r, record in self._records.items() if record.worst < ALONE_FROM)
+        light = (r for r, record in self._records.items() if record.worst < MIN_CRASHES_ALONE)
         del self._records[next(light, next(iter(self._records)))]
 
     # -- what is told -----------------------------------------------------
@@ -281,20 +282,20 @@
         record = self._records.get(request)
         return None if record is None else Suspicion(request, tuple(record.ends.values()))
 
-    def grave(self):
+    def restricted(self):
         """Return the suspicions of two ends or more, which a node must know before it sends."""
         records = self._records.items()
-        return [self.suspicion(r) for r, record in records if record.worst >= ALONE_FROM]
+        return [self.suspicion(r) for r, record in records if record.worst >= MIN_CRASHES_ALONE]
 
     def _suspected(self):
         return sum(record.worst > 0 for record in self._records.values())
 
     def _quarantined(self):
-        return sum(record.worst >= QUARANTINED_FROM for record in self._records.values())
+        return sum(record.worst >= MIN_CRASHES_QUARANTINED for record in self._records.values())
 
 
-def _union(held, ends):
-    """Return what is known of a request from both sides, the latest `ENDS_MOST` ends.
+def _merge(held, ends):
+    """Return what is known of a request from both sides, the latest `MAX_CRASHES_PER_SUSPECT` ends.
 
     Notes
     -----
@@ -306,10 +307,10 @@
         known = union.get(end.number)
         if known is None or known.clearing < end.clearing:
             union[end.number] = end
-    return {number: union[number] for number in sorted(union)[-ENDS_MOST:]}
+    return {number: union[number] for number in sorted(union)[-MAX_CRASHES_PER_SUSPECT:]}
 
 
 def _verdict_at(count):
-    if count >= QUARANTINED_FROM:
+    if count >= MIN_CRASHES_QUARANTINED:
         return Verdict.QUARANTINED
-    return Verdict.ALONE if count >= ALONE_FROM else Verdict.FREE
+    return Verdict.ALONE if count >= MIN_CRASHES_ALONE else Verdict.FREE
--- a/caperstack/quarantine/tests/test_suspects.py
+++ b/caperstack/quarantine/tests/test_suspects.py
@@ -12,14 +12,14 @@
 from caperstack.calls.fingerprint import Fingerprint
 from caperstack.calls.model import Call
 from caperstack.quarantine.suspects import (
-    ENDS_MOST,
-    FORGET_SECONDS,
+    MAX_CRASHES_PER_SUSPECT,
+    SUSPECT_TTL_SECONDS,
     QUARANTINE_SECONDS,
-    SURVIVED_SECONDS,
-    SURVIVORS_MOST,
-    SUSPECTS_MOST,
+    COMPLETION_VALID_SECONDS,
+    MAX_COMPLETIONS,
+    MAX_SUSPECTS,
     Clearing,
-    End,
+    Crash,
     Suspects,
     Suspicion,
     Verdict,
@@ -29,10 +29,10 @@
 OTHER_CALLER = Fingerprint(1, 2)
 BYSTANDER = Fingerprint(2, 1)
 
-ENDS = st.builds(End, st.integers(1, 30), st.integers(1, 3), st.sampled_from(Clearing))
+ENDS = st.builds(Crash, st.integers(1, 30), st.integers(1, 3), st.sampled_from(Clearing))
 
 
-class _VirtualTime(unittest.TestCase):
+class _VirtualClockTestCase(unittest.TestCase):
     """A clock that a test moves."""
 
     def setUp(self):
@@ -46,10 +46,10 @@
         return suspects
 
     def end(self, number, *fingerprints):
-        self.suspects.note_end(number, fingerprints)
+        self.suspects.record_crash(number, fingerprints)
 
 
-class TestVerdict(_VirtualTime):
+class TestVerdict(_VirtualClockTestCase):
     """How a request may be sent, after so many ends."""
 
     def test_third_end_quarantines_the_one_that_was_at_work_at_all(self):
@@ -73,17 +73,17 @@
         # other of something else, and it runs whole elsewhere in between.
         for number in range(20):
             self.end(number, BYSTANDER)
-            self.suspects.note_survival(BYSTANDER)
+            self.suspects.record_completion(BYSTANDER)
             self.assertEqual(self.suspects.verdict(BYSTANDER), Verdict.FREE)
 
     def test_popular_call_is_not_blamed_where_it_ran_whole_just_before(self):
         # Three servers lose power in the same moment: no run ends in between, and
         # the listing was at work at all three.
-        self.suspects.note_survival(BYSTANDER)
+        self.suspects.record_completion(BYSTANDER)
         for number in range(3):
             self.end(number, BYSTANDER, FATAL)
         self.assertEqual(self.suspects.count(BYSTANDER), 0)
-        self.time += SURVIVED_SECONDS + 1.0
+        self.time += COMPLETION_VALID_SECONDS + 1.0
         self.end(4, BYSTANDER)
         self.assertEqual(self.suspects.count(BYSTANDER), 1)
 
@@ -93,7 +93,7 @@
         for number in range(3):
             self.end(number, BYSTANDER)
         self.assertEqual(self.suspects.verdict(BYSTANDER), Verdict.QUARANTINED)
-        self.suspects.note_survival(BYSTANDER)
+        self.suspects.record_completion(BYSTANDER)
         self.assertEqual(self.suspects.verdict(BYSTANDER), Verdict.FREE)
 
     def test_request_that_is_fatal_for_one_caller_is_kept_from_that_caller_only(self):
@@ -101,7 +101,7 @@
             self.end(number, FATAL)
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.QUARANTINED)
         self.assertEqual(self.suspects.verdict(OTHER_CALLER), Verdict.FREE)
-        self.suspects.note_survival(OTHER_CALLER)
+        self.suspects.record_completion(OTHER_CALLER)
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.QUARANTINED)
 
     def test_request_that_was_fatal_for_two_callers_is_kept_from_all(self):
@@ -123,7 +123,7 @@
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.QUARANTINED)
         self.time += QUARANTINE_SECONDS
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.ALONE)
-        self.suspects.note_survival(FATAL)
+        self.suspects.record_completion(FATAL)
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.FREE)
 
     def test_refusal_tells_when_a_trial_is_due(self):
@@ -136,7 +136,7 @@
     def test_suspect_of_long_ago_is_forgotten(self):
         for number in range(2):
             self.end(number, FATAL)
-        self.time += FORGET_SECONDS + 1.0
+        self.time += SUSPECT_TTL_SECONDS + 1.0
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.FREE)
         self.assertEqual(self.suspects.count(FATAL), 0)
 
@@ -146,7 +146,7 @@
         self.assertEqual(self.suspects.verdict(Fingerprint()), Verdict.FREE)
 
 
-class TestExchangeOfSuspicions(_VirtualTime):
+class TestExchangeOfSuspicions(_VirtualClockTestCase):
     """What nodes tell each other adds up to one view, whatever its order."""
 
     @given(st.lists(st.lists(ENDS, min_size=1, max_size=4), min_size=1, max_size=4), st.randoms())
@@ -163,8 +163,8 @@
 
     def test_two_nodes_that_dropped_different_ends_stop_telling_each_other(self):
         one, two = self.new(), self.new()
-        for number in range(2 * ENDS_MOST):
-            (one if number % 2 else two).take(Suspicion(1, (End(number, 1),)))
+        for number in range(2 * MAX_CRASHES_PER_SUSPECT):
+            (one if number % 2 else two).take(Suspicion(1, (Crash(number, 1),)))
         for count in itertools.count():
             news = two.take(one.suspicion(1)), one.take(two.suspicion(1))
             if not any(news):
@@ -173,15 +173,15 @@
         self.assertEqual(one.suspicion(1), two.suspicion(1))
 
     def test_clearing_that_overtakes_its_end_still_clears(self):
-        self.suspects.take(Suspicion(1, (End(5, 1, Clearing.ALL),)))
-        self.suspects.take(Suspicion(1, (End(5, 1),)))
+        self.suspects.take(Suspicion(1, (Crash(5, 1, Clearing.ALL),)))
+        self.suspects.take(Suspicion(1, (Crash(5, 1),)))
         self.assertEqual(self.suspects.count(FATAL), 0)
 
     def test_only_news_is_told(self):
         told = []
         self.suspects.listen(lambda request, source: told.append((request, source)))
         for source in ("a", "b"):
-            self.suspects.take(Suspicion(1, (End(5, 1),)), source)
+            self.suspects.take(Suspicion(1, (Crash(5, 1),)), source)
         self.suspects.take(Suspicion(1, ()), "c")
         self.assertEqual(told, [(1, "a")])
 
@@ -189,10 +189,10 @@
         for number in range(2):
             self.end(number, FATAL)
         self.end(3, BYSTANDER)
-        self.assertEqual([one.request for one in self.suspects.grave()], [FATAL.request])
+        self.assertEqual([one.request for one in self.suspects.restricted()], [FATAL.request])
 
 
-class TestBounds(_VirtualTime):
+class TestBounds(_VirtualClockTestCase):
     """Memory stays bounded, and what matters stays in it."""
 
     def test_many_suspects_push_out_light_ones(self):
@@ -200,9 +200,9 @@
         for number in range(3):
             self.end(number, FATAL)
         rng = random.Random(1)
-        for number in range(10 * SUSPECTS_MOST):
+        for number in range(10 * MAX_SUSPECTS):
             self.end(10 + number, Fingerprint(rng.getrandbits(64), 1))
-            self.suspects.note_survival(Fingerprint(rng.getrandbits(64), 1))
+            self.suspects.record_completion(Fingerprint(rng.getrandbits(64), 1))
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.QUARANTINED)
-        self.assertLessEqual(len(self.suspects._records), SUSPECTS_MOST)
-        self.assertLessEqual(len(self.suspects._survivors), 2 * SURVIVORS_MOST)
+        self.assertLessEqual(len(self.suspects._records), MAX_SUSPECTS)
+        self.assertLessEqual(len(self.suspects._completions), 2 * MAX_COMPLETIONS)
--- a/caperstack/routing/dispatch.py
+++ b/caperstack/routing/dispatch.py
@@ -227,7 +227,7 @@
             return
         if isinstance(outcome, Unknown) and outcome.end:
             # Before the next send of this call: others tell of the end later.
-            self._suspects.note_end(outcome.end, (call.fingerprint,))
+            self._suspects.record_crash(outcome.end, (call.fingerprint,))
         failed = isinstance(outcome, Unknown) or outcome.status >= 500
         if member.estimate.record_result(failed):
             self._events.state("ejection", "in use", "ejected", member.host)
--- a/caperstack/routing/tests/test_dispatch.py
+++ b/caperstack/routing/tests/test_dispatch.py
@@ -238,9 +238,9 @@
         world = DispatcherFixture(*owners, **settings)
         self.suspects = world.dispatcher._suspects
         self.suspects._events = mock.Mock()
-        self.suspects.note_end(1, [Fingerprint(6, 1)])
+        self.suspects.record_crash(1, [Fingerprint(6, 1)])
         for number in range(ends):
-            self.suspects.note_end(10 + number, [self.FATAL])
+            self.suspects.record_crash(10 + number, [self.FATAL])
         return world
 
     def send(self, world, fingerprint=FATAL, attempts=3):
@@ -300,7 +300,7 @@
     def test_call_that_ran_and_is_quarantined_meanwhile_is_not_told_as_not_run(self):
         def quarantine(_call):
             for number in range(3):
-                self.suspects.note_end(30 + number, [self.FATAL])
+                self.suspects.record_crash(30 + number, [self.FATAL])
 
         owner = FakeOwner(Unknown("connection closed", end=20))
         run = owner.run
