--- a/caperstack/admission/follower.py
+++ b/caperstack/admission/follower.py
@@ -196,12 +196,14 @@
 
     def _on_end(self, end):
         self._metrics.count("backend_ends")
-        self._suspects.record_crash(end.number, [work.fingerprint for work in end.works.values()])
+        self._suspects.record_crash(
+            end.number, [work.fingerprint for work in end.pending_calls.values()]
+        )
         self._events.belief(
             "backend server ended",
             instance=end.instance,
             end=f"{end.number:016x}",
-            at_work={work.request_id: work.fingerprint.text for work in end.works.values()},
+            at_work={work.request_id: work.fingerprint.text for work in end.pending_calls.values()},
         )
         self.set_state(self._standing.set_gone(True))
 
--- a/caperstack/admission/limit.py
+++ b/caperstack/admission/limit.py
@@ -35,7 +35,7 @@
 ROUTES_MOST = 500
 
 #: Answers after which a route's usual time is more than chance.
-MIN_ROUTE_ANSWERS = 5
+ROUTE_ANSWERS = 5
 
 #: So many calls make the first usual time.
 FIRST_CALLS = 50
@@ -179,7 +179,7 @@
     def route_known(self, route):
         """Return how long calls of `route` take, in seconds; 0 if few of them were answered."""
         average = self._routes.get(route)
-        return average.value if average and average.count >= MIN_ROUTE_ANSWERS else 0.0
+        return average.value if average and average.count >= ROUTE_ANSWERS else 0.0
 
     def begin(self, key, pace=1.0, route=""):
         """Note that the call of that key starts now, when work takes `pace` times the usual."""
--- a/caperstack/quarantine/crash.py
+++ b/caperstack/quarantine/crash.py
@@ -64,13 +64,13 @@
         Names this end among all ends of all servers; a later one has a higher number.
     instance : str
         The instance that ended.
-    works : dict
+    pending_calls : dict
         The `PendingCall` of each call that was at work, by entry and number.
     """
 
     number: int
     instance: str
-    works: dict
+    pending_calls: dict
 
 
 class CrashDetector:
@@ -147,7 +147,10 @@
         return self._last_crash if self._includes(call) else None
 
     def _includes(self, call):
-        return self._last_crash is not None and (call.origin, call.id) in self._last_crash.works
+        return (
+            self._last_crash is not None
+            and (call.origin, call.id) in self._last_crash.pending_calls
+        )
 
     async def _probe(self):
         try:
@@ -176,19 +179,21 @@
         # Failure: a server goes silent without breaking a connection, and its
         # calls are given up long before another start of it is listed.  What it
         # was at work on is what was out at its last sign of life.
-        works = [work for work in self._unanswered if work.deadline > self._last_response_at]
-        works += self._running.values()
+        pending_calls = [
+            work for work in self._unanswered if work.deadline > self._last_response_at
+        ]
+        pending_calls += self._running.values()
         self._unanswered.clear()
         self._running.clear()
-        if not works or self._crash_recorded:
+        if not pending_calls or self._crash_recorded:
             # Failure: calls that were sent to the address after the end, and met
             # the next start before the list names it, make a second end of one;
             # what was at work at two ends would have three to its name.
             return
         self._crash_recorded = True
-        by_number = {(work.origin, work.number): work for work in works}
+        by_number = {(work.origin, work.number): work for work in pending_calls}
         self._last_crash = ServerCrash(
-            self._crash_number(works[0]), self._standing.instance, by_number
+            self._crash_number(pending_calls[0]), self._standing.instance, by_number
         )
         for listener in self._listeners:
             listener(self._last_crash)
--- a/caperstack/quarantine/suspects.py
+++ b/caperstack/quarantine/suspects.py
@@ -91,7 +91,7 @@
     ends: dict = field(default_factory=dict)
     quarantined_until: float = 0.0
     expires_at: float = 0.0
-    told: int = Verdict.FREE
+    logged_verdict: int = Verdict.FREE
 
     def count(self, caller):
         """Return how many ends speak against the request when `caller` asks for it.
@@ -109,7 +109,7 @@
         return max(own, len(open_ends) if shared else 0)
 
     @property
-    def worst(self):
+    def max_count(self):
         """The count for the caller against whom most speaks."""
         return max(self.count(caller) for caller in {e.caller for e in self.ends.values()})
 
@@ -252,17 +252,17 @@
     def _update_verdict(self, request, record, further, source):
         record.expires_at = deadline_after(SUSPECT_TTL_SECONDS)
         self._records.move_to_end(request)
-        count = record.worst
+        count = record.max_count
         if further and count >= MIN_CRASHES_QUARANTINED:
             seconds = QUARANTINE_SECONDS * 2 ** (count - MIN_CRASHES_QUARANTINED)
             record.quarantined_until = deadline_after(min(MAX_QUARANTINE_SECONDS, seconds))
-        told, record.told = record.told, _verdict_at(count)
-        if record.told != told:
+        logged_verdict, record.logged_verdict = record.logged_verdict, _verdict_at(count)
+        if record.logged_verdict != logged_verdict:
             self._events.belief(
                 "suspect",
                 asks=f"{request:016x}",
-                old=Verdict(told).name.lower(),
-                new=record.told.name.lower(),
+                old=Verdict(logged_verdict).name.lower(),
+                new=record.logged_verdict.name.lower(),
                 ends=[f"{number:016x}" for number in record.ends],
                 count=count,
                 source=source,
@@ -272,7 +272,7 @@
     def _make_room(self):
         if len(self._records) < MAX_SUSPECTS:
             return
-        light = (r for r, record in self._records.items() if record.worst < MIN_CRASHES_ALONE)
+        light = (r for r, record in self._records.items() if record.max_count < MIN_CRASHES_ALONE)
         del self._records[next(light, next(iter(self._records)))]
 
     # -- what is told -----------------------------------------------------
@@ -285,13 +285,13 @@
     def restricted(self):
         """Return the suspicions of two ends or more, which a node must know before it sends."""
         records = self._records.items()
-        return [self.suspicion(r) for r, record in records if record.worst >= MIN_CRASHES_ALONE]
+        return [self.suspicion(r) for r, record in records if record.max_count >= MIN_CRASHES_ALONE]
 
     def _suspected(self):
-        return sum(record.worst > 0 for record in self._records.values())
+        return sum(record.max_count > 0 for record in self._records.values())
 
     def _quarantined(self):
-        return sum(record.worst >= MIN_CRASHES_QUARANTINED for record in self._records.values())
+        return sum(record.max_count >= MIN_CRASHES_QUARANTINED for record in self._records.values())
 
 
 def _merge(held, ends):
--- a/caperstack/quarantine/tests/test_crash.py
+++ b/caperstack/quarantine/tests/test_crash.py
@@ -7,14 +7,14 @@
 
 from caperstack.calls.model import Call, ServerState
 from caperstack.clock import deadline_after
-from caperstack.quarantine.crash import MAX_UNANSWERED, CrashDetector, BackendResult
+from caperstack.quarantine.crash import MAX_UNANSWERED, BackendResult, CrashDetector
 
 
 def call(number, seconds=5.0):
     return Call(number, "n", f"r{number}", "s", "GET", "/", [], b"", deadline_after(seconds), True)
 
 
-class TestCrashWatch(unittest.IsolatedAsyncioTestCase):
+class TestCrashDetector(unittest.IsolatedAsyncioTestCase):
     """`CrashDetector` beside a server that listens, or does not."""
 
     def setUp(self):
@@ -30,7 +30,7 @@
         return self.listening
 
     def at_work(self):
-        return [sorted(work.number for work in end.works.values()) for end in self.ends]
+        return [sorted(work.number for work in end.pending_calls.values()) for end in self.ends]
 
     async def test_server_that_refuses_connections_has_ended_with_all_its_work(self):
         # All connections of a server break in one millisecond.  The first loss
--- a/caperstack/quarantine/tests/test_suspects.py
+++ b/caperstack/quarantine/tests/test_suspects.py
@@ -12,12 +12,12 @@
 from caperstack.calls.fingerprint import Fingerprint
 from caperstack.calls.model import Call
 from caperstack.quarantine.suspects import (
-    MAX_CRASHES_PER_SUSPECT,
-    SUSPECT_TTL_SECONDS,
-    QUARANTINE_SECONDS,
     COMPLETION_VALID_SECONDS,
     MAX_COMPLETIONS,
+    MAX_CRASHES_PER_SUSPECT,
     MAX_SUSPECTS,
+    QUARANTINE_SECONDS,
+    SUSPECT_TTL_SECONDS,
     Clearing,
     Crash,
     Suspects,
