--- a/caperstack/routing/__init__.py
+++ b/caperstack/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The entry's decision: where a call goes, and where it goes next."""
+"""Routing at the entry: choice of the backend server, retries and hedged requests."""
--- a/caperstack/routing/candidates.py
+++ b/caperstack/routing/candidates.py
@@ -1,4 +1,4 @@
-"""The backend servers that an entry may send a call to, and the one that it picks."""
+"""Candidate backend servers for a call, and the choice among them."""
 
 from caperstack.calls.model import ServerState
 from caperstack.membership.order import hash_number
@@ -7,11 +7,11 @@
 
 __all__ = ["Candidates", "QUEUE_WAIT_FACTOR", "baseline_seconds"]
 
-#: How long an owner may hold a call before it is better moved on, in usual
-#: service times; the last try may wait until its deadline.
+#: How long a call may queue at an owner before another server is tried, in baseline
+#: service times; the last attempt may queue until the deadline.
 QUEUE_WAIT_FACTOR = 0.25
 
-#: At most this share of a service's members is ejected at once.
+#: Largest share of a service's members that may be ejected at the same time.
 MAX_EJECTED_SHARE = 0.5
 
 
@@ -21,9 +21,9 @@
     Parameters
     ----------
     here : caperstack.config.here.Here
-        Where the choice is made.
+        The identity and location of this node.
     rng : random.Random
-        The chance in it.
+        The source of randomness for the choice.
     """
 
     def __init__(self, here, rng):
@@ -34,30 +34,35 @@
         self._metrics = None
 
     def start(self, members, metrics):
-        """Follow `members`."""
+        """Start to track the changes of `members`."""
         self._members = members
         self._metrics = metrics
         members.listen(self._on_member)
 
     def pick_available(self, call, state, tried):
-        """Return the best untried member that may run `call` about now, or ``None``."""
+        """Return the best untried member with an expected free slot, or ``None``."""
         return self._choose(state, self.free(call, state, tried))
 
     def pick_any(self, call, state, failed):
-        """Return the best of all members but those in `failed`, busy or not, or ``None``."""
+        """Return the best member not in `failed`, even if it is busy, or ``None``."""
         return self._choose(state, [m for m in self._accepting(call) if m not in failed])
 
     def pick_deterministic(self, call):
-        """Return the member that every entry picks for the request of `call`, or ``None``."""
+        """Return the member that every entry picks for the request of `call`, or ``None``.
+
+        Notes
+        -----
+        Rendezvous hashing of the request's fingerprint and the host names.
+        """
         members = self._fit(self._members.usable(self._members.of_service(call.service)))
         name = call.fingerprint.text
         return max(members, key=lambda m: hash_number(f"{name} {m.host}"), default=None)
 
     def _accepting(self, call):
-        """Return the members of this entry's subset that may get new work."""
+        """Return the members of this entry's subset that accept new calls."""
         members = self._members.usable(self.subset(call.service))
         if not members:
-            # The whole subset is leaving or gone: any member will do.
+            # The whole subset is leaving or gone: fall back to all members.
             members = self._members.usable(self._members.of_service(call.service))
         for member in members:
             member.owner.freshen(member.estimate)
@@ -81,14 +86,14 @@
         return subset.members
 
     def free(self, call, state, tried):
-        """Return the untried members that may run a call about now.
+        """Return the untried members that are expected to have a free slot about now.
 
         Notes
         -----
-        Failure: when all servers are busy, each call asks one after the other
-        and is refused by all; the asking takes the nodes' processors, and what
-        was a full queue becomes an outage that outlasts its cause.  A refusal
-        brings the owner's exact load, so the next call knows and does not ask.
+        If every call were offered to each busy server in turn and refused by all,
+        the offers would use up the nodes' processors, and an overload would become
+        an outage that outlasts its cause.  A refusal carries the owner's exact
+        load, so that later calls skip that server.
         """
         members = self._accepting(call)
         baseline = baseline_seconds(members, state)
@@ -108,13 +113,14 @@
         return choose(state.policy, self._fit(members), context)
 
     def _fit(self, members):
-        """Return the members fit for work, or all if too many seem unfit.
+        """Return the healthy members, or all if too many seem unhealthy.
 
         Notes
         -----
-        When most servers seem dead at once, the fault is likely on this side:
-        a partition, or a pause of this process.  Ejecting them all would turn
-        it into an outage, so beyond a bound nobody is ejected.
+        When most servers seem down at once, the cause is probably on this node: a
+        network partition, or a pause of the process.  Ejecting them all would turn
+        that into an outage, so no member is ejected if the share of ejected ones
+        exceeds `MAX_EJECTED_SHARE`.
         """
         usable = [m for m in members if m.owner.usable and m.estimate.state != ServerState.DOWN]
         if not usable:
@@ -127,18 +133,18 @@
 
 
 def baseline_seconds(members, state):
-    """Return the service time that most of `members` have, in seconds.
+    """Return the median service time that the owners of `members` report, in seconds.
 
     Notes
     -----
-    Failure: the entry's own times of calls include their waiting.  In a
-    slowdown they grew until the slow server no longer stood out, and calls
-    went on to it.  The median of what the owners tell is that of a healthy
-    server while fewer than half are slow.
+    The durations that the entry measures include queueing.  During a slowdown they
+    would grow until the slow server no longer stands out, and calls would still be
+    sent to it.  The median is the time of a healthy server while fewer than half
+    of the servers are slow.  Without reports the entry's own baseline is returned.
     """
-    told = sorted(
+    reported = sorted(
         m.estimate.reported_service_seconds
         for m in members
         if m.estimate.reported_service_seconds is not None
     )
-    return told[(len(told) - 1) // 2] if told else state.baseline_seconds
+    return reported[(len(reported) - 1) // 2] if reported else state.baseline_seconds
--- a/caperstack/routing/dispatch.py
+++ b/caperstack/routing/dispatch.py
@@ -1,4 +1,4 @@
-"""The entry: send a call to an owner, and elsewhere again when that is safe."""
+"""Dispatch of calls by the entry: server choice, retries and hedging."""
 
 import asyncio
 import copy
@@ -14,21 +14,20 @@
 
 __all__ = ["Dispatcher"]
 
-#: Answers that an idempotent call may try to better at another server.
+#: HTTP statuses after which an idempotent call may be retried at another server.
 REPEATABLE_STATUSES = frozenset((500, 502, 503, 504))
 
-
-#: How soon a call may come back for which there is no server, in seconds.
+#: Retry-after time of a call for which there is no backend server, in seconds.
 NO_SERVER_RETRY_SECONDS = 1.0
 
 
 class Dispatcher:
-    """Choose owners for calls, and retry or hedge where nothing can run twice.
+    """Send calls to owners, and retry or hedge them where that is safe.
 
     Notes
     -----
-    A non-idempotent call has one attempt out at any moment, and moves to
-    another owner only with the proof that the last attempt did not run.
+    A non-idempotent call has at most one attempt in flight, and is sent to
+    another owner only if the previous attempt provably did not run.
     """
 
     def __init__(self, here, rng=None, allowance=None):
@@ -38,7 +37,7 @@
         self.candidates = Candidates(here, rng or random.Random())
 
     async def start(self, kernel):
-        """Find the services that this one needs."""
+        """Look up the services that the dispatcher depends on."""
         self._members = kernel.find("members")
         self._settings = kernel.find("settings")
         self._metrics = kernel.find("metrics")
@@ -47,12 +46,12 @@
         self.candidates.start(self._members, self._metrics)
 
     def baseline_seconds(self, service):
-        """Return the usual time of a call of `service`, in seconds."""
+        """Return the baseline duration of a call of `service`, in seconds."""
         state = self._services.get(service)
         return INITIAL_BASELINE_SECONDS if state is None else state.baseline_seconds
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing; the dispatcher holds no resources."""
 
     async def dispatch(self, call):
         """Return the `Outcome` of `call`."""
@@ -85,17 +84,18 @@
         budget = self._allowance.budget(len(self._members))
         return ServiceState(policy, budget, budget)
 
-    # -- one attempt after the other --------------------------------------
+    # -- sequential attempts ----------------------------------------------
 
     async def _try_sequentially(self, call, state, settings, tried, attempts, queues=True):
-        """Try members until one answers; with `queues` wait at the best as a last resort.
+        """Try members until one answers; with `queues`, finally queue at the best one.
 
         Notes
         -----
-        First each member is asked whether it can run the call about now.  When
-        as many as the settings allow have refused, the call goes to the best
-        of all, refused or not, and waits there until its deadline.  What is lost
-        or fails there is repeated like any other, elsewhere.
+        The call is first offered to members that are expected to have a free
+        slot.  After ``refusals_per_call`` refusals, or when no such member is
+        left, it is sent to the best member, even one that has refused, and queues
+        there until its deadline.  If that attempt is lost or fails, the call is
+        retried at another member like any other.
         """
         refusals = 0
         failed = []
@@ -119,7 +119,8 @@
             if _is_final(outcome):
                 return best
             if isinstance(outcome, NotRun) and not outcome.offered:
-                # A server that began to leave while the call waited is no last resort.
+                # Refused while queued: final, unless the server started to leave
+                # meanwhile, which says nothing about the other members.
                 if last and not member.leaving:
                     return best
                 attempts.give_back()
@@ -132,7 +133,7 @@
         return best or NotRun(self._members.lacks(call.service), NO_SERVER_RETRY_SECONDS)
 
     def _refuse_quarantined(self, call, best):
-        """Return the outcome of a call whose request must not be sent."""
+        """Return the outcome of a call whose request is quarantined."""
         refusal = self._suspects.refusal(call)
         self._metrics.count("quarantined_calls", service=call.service)
         self._events.refusal(
@@ -146,14 +147,14 @@
         return refusal if best is None or isinstance(best, NotRun) else best
 
     async def _try_isolated(self, call, state, attempts, best):
-        """Send a suspect to the one server that all entries send it to, once.
+        """Send a suspect request once, to the server that every entry picks for it.
 
         Notes
         -----
-        Failure: a request that has ended two servers comes again at several
-        entries, each sends it to another server, and all of these end.  All send
-        it to the server that stands first for this request in an order that
-        every entry computes alike, whose owner runs one suspect at a time.
+        A request that has crashed two servers may arrive at several entries.  If
+        each sent it to a different server, all of these could crash.  Every entry
+        therefore computes the same order of servers for the request and uses the
+        first, whose owner runs one suspect at a time.
         """
         member = self.candidates.pick_deterministic(call)
         if member is None or not attempts.take():
@@ -164,7 +165,7 @@
         if not call.idempotent and not isinstance(outcome, NotRun):
             return False
         if isinstance(outcome, Unknown) and self._suspects.verdict(call.fingerprint):
-            # Failure: a call that has ended two servers is taken to a third.
+            # The request was running when servers crashed; a retry could crash one more.
             self._events.decision("entry may not repeat", call, outcome="suspect")
             return False
         if time_left(call.deadline) < state.baseline_seconds:
@@ -226,7 +227,8 @@
         if refused:
             return
         if isinstance(outcome, Unknown) and outcome.end:
-            # Before the next send of this call: others tell of the end later.
+            # Recorded here, before this call is retried: the notice that peers
+            # send of the crash arrives later.
             self._suspects.record_crash(outcome.end, (call.fingerprint,))
         failed = isinstance(outcome, Unknown) or outcome.status >= 500
         if member.estimate.record_result(failed):
@@ -252,12 +254,13 @@
                 first.cancel()
 
     def _may_hedge(self, call, state, tried, attempts):
-        """Return whether a second server can take `call` now and the budget allows it.
+        """Return whether another server has a free slot and the budget allows a hedge.
 
         Notes
         -----
-        A hedge never queues: where no slot is free it would only add load.  A
-        request that has met the end of a server is not sent to two at once.
+        A hedge never queues, since without a free slot it would only add load.  A
+        request that was running when a server crashed is never sent to two
+        servers at once.
         """
         if self._suspects.count(call.fingerprint):
             return False
@@ -287,18 +290,18 @@
 
 
 def _is_final(outcome):
-    """Return whether `outcome` is an answer that no other server would better."""
+    """Return whether `outcome` is an answer that a retry would not improve."""
     return isinstance(outcome, Answered) and outcome.status not in REPEATABLE_STATUSES
 
 
 def _outcome_rank(outcome):
-    """Rank outcomes: a final answer, an answer, unknown, not run.
+    """Rank outcomes, best first: final answer, other answer, unknown, not run.
 
     Notes
     -----
-    Failure: one attempt at a call is lost on the way and the next is refused;
-    told the last outcome, the caller believes that nothing ran.  "Not run" is
-    told only if it is true of every attempt.
+    "Not run" ranks last so that it is returned only if it holds for every
+    attempt.  If one attempt is lost and the next is refused, the first may have
+    run, and the caller must not be told that nothing ran.
     """
     if isinstance(outcome, Answered):
         return 0 if _is_final(outcome) else 1
@@ -306,7 +309,7 @@
 
 
 def _better(outcome, best):
-    """Return the outcome to tell of two; `best` is ``None`` before the first."""
+    """Return the better of two outcomes; `best` is ``None`` before the first."""
     return outcome if best is None else min(outcome, best, key=_outcome_rank)
 
 
--- a/caperstack/routing/estimates.py
+++ b/caperstack/routing/estimates.py
@@ -1,62 +1,64 @@
-"""What an entry knows for free of each backend server."""
+"""An entry's estimate of the load and health of each backend server."""
 
 from caperstack.calls.model import SLOWED_PACE, VISIT_SECONDS, Load, ServerState
 from caperstack.clock import deadline_after, now
 
 __all__ = ["Estimate"]
 
-#: How long calls in flight and waiting, as told by a load that rode back, are
-#: trusted, in seconds; and how long the service time in it is.
+#: Seconds over which the weight of a load report decays to zero: for its counts of
+#: calls in flight and queued, and for its service time and failure share.
 LOAD_SECONDS = 0.5
 SERVICE_SECONDS = 5.0
 
-#: How long the pace of a host that was told, against its usual one, is trusted,
-#: in seconds; longer than the silence after which a link counts as dead.
+#: Seconds for which a reported slowdown of a host is used; longer than the silence
+#: after which a link counts as dead.
 PACE_SECONDS = 2.0
 
-#: How much a full server without a queue counts worse than an empty one.
+#: Penalty of a full server without a queue against an empty one, in service times.
 OCCUPANCY_PENALTY = 0.2
 
-#: A service time counts as slowed from this many usual ones on; less is chance.
+#: A reported service time counts only from this multiple of the baseline on; smaller
+#: differences are random variation.
 SLOW_SERVICE_FACTOR = 2.5
 
-#: How much longer work takes at a cold server, in usual service times.
+#: Additional time of a call at a cold server, in baseline service times.
 COLD_PENALTY_FACTOR = 1.0
 
-#: Own calls that may be out to a server of which nothing is known lately.
+#: Concurrency limit assumed for a server without a recent load report.
 UNREPORTED_LIMIT = 2
 
-#: How often the published report is taken over, in seconds; for the baselines.
+#: Refresh interval of `Estimate.published` in seconds; only the baseline policies use it.
 PUBLISHED_SECONDS = 1.0
 
-#: Results that make a server's failures count, and the share that ejects it.
+#: A server is ejected once it has at least this many results and at least this share
+#: of failures.  The ejection time doubles with each consecutive ejection.
 MIN_RESULTS_TO_EJECT = 5
 EJECTION_FAILURE_SHARE = 0.5
 EJECTION_SECONDS = 1.0
 MAX_EJECTION_SECONDS = 30.0
 
+#: Weight of the latest result in the moving average of failures.
 FAILURE_WEIGHT = 0.2
 
-#: The limit that is assumed before the first report.
+#: Concurrency limit assumed before the first load report.
 INITIAL_LIMIT = 20
 
-
-#: A body of so many bytes or more is sent only when the owner is about to run the
-#: call, once at least this share of the calls to that owner was refused lately.
+#: A body of at least this size is sent only when the owner is about to run the call,
+#: if at least this share of recent calls to that owner was refused.
 WITHHELD_BYTES = 1024
 WITHHELD_SHARE = 0.1
 
-#: Weight of one call in the share of refused ones.
+#: Weight of the latest call in the moving average of refusals.
 REFUSAL_WEIGHT = 0.2
 
 
 class Estimate:
-    """An entry's view of one backend server: own calls, and loads that rode back.
+    """An entry's view of one backend server, from its own calls and the load reports.
 
     Attributes
     ----------
     in_flight : int
-        This entry's own calls there.
+        This entry's own calls in flight to the server.
     """
 
     def __init__(self):
@@ -65,12 +67,12 @@
         self.restart()
 
     def restart(self):
-        """Another backend server, or another start of it, is there: forget all but own calls.
+        """Reset everything but the calls in flight, for a new or restarted server.
 
         Notes
         -----
-        Failure: a backend server that failed, or drained, starts again; it is
-        left alone for as long as its former run was to rest.
+        Otherwise a server that restarts after failures or a drain would get no
+        calls until the ejection of its previous run ends.
         """
         self._load = Load(limit=self._load.limit)
         self._in_flight_at_report = self.in_flight
@@ -87,32 +89,32 @@
 
     @property
     def state(self):
-        """The last `ServerState` heard."""
+        """The `ServerState` in the last load report."""
         return self._load.state
 
     @property
     def published(self):
-        """The published report, up to a second older than the owner's copy."""
+        """The published load, up to `PUBLISHED_SECONDS` older than the owner's own value."""
         return self._published
 
     @property
     def age_ms(self):
-        """How old the last load heard is, in milliseconds; ``None`` before the first."""
+        """Age of the last load report in milliseconds; ``None`` before the first."""
         return round((now() - self._reported_at) * 1000) if self._reported_at else None
 
     @property
     def slowed(self):
-        """Whether the host is so slow at this moment that its owner would refuse."""
+        """Whether the host is so slow at the moment that the owner would refuse calls."""
         return self._pace() >= SLOWED_PACE
 
     @property
     def reported_service_seconds(self):
-        """The service time last told by the owner, in seconds; ``None`` if it knows none."""
+        """The service time last reported by the owner in seconds; ``None`` if not known."""
         return self._load.service_us / 1e6 or None
 
     @property
     def ejected(self):
-        """Whether the server fails so often that it should rest."""
+        """Whether the server is ejected for the moment because its calls failed."""
         return now() < self._ejected_until
 
     @property
@@ -121,30 +123,30 @@
 
         Notes
         -----
-        What this entry has seen fades like what it was told: a server that is well
-        again shows it only by calls, and gets none while others look better.
+        The entry's own observations decay like the reported ones.  Only calls can
+        show that a server has recovered, and it gets none while others look better.
         """
         own = self._failing * _remaining_weight(self._result_at, SERVICE_SECONDS)
         return max(own, self._load.failing / 100 * self._trust(SERVICE_SECONDS))
 
     def _trust(self, seconds):
-        """Return the trust in what was heard, fading from 1 to 0 over `seconds`."""
+        """Return the weight of the last load report, decaying from 1 to 0 over `seconds`."""
         return _remaining_weight(self._reported_at, seconds)
 
     def expected_seconds(self, baseline):
-        """Return the expected seconds from arrival to answer.
+        """Return the expected time from arrival to answer, in seconds.
 
         Parameters
         ----------
         baseline : float
-            The service's usual time in seconds, which stands in where no
-            report is trusted any more.
+            The service's baseline duration in seconds, used where the last
+            report has expired.
 
         Notes
         -----
-        Calls of other entries fade as the report that told of them ages; own
-        calls are known exactly.  A server that nobody called lately drifts
-        back to the usual time, so it is tried again.
+        The calls of other entries lose weight as the load report ages; the own
+        calls are known exactly.  The estimate of a server without recent calls
+        returns to the baseline, so the server is tried again.
         """
         occupancy = self._occupancy()
         usable = max(0.05, 1.0 - self.failing)
@@ -156,13 +158,13 @@
         return held + service * (max(1.0, occupancy) + preference) / usable**2
 
     def expected_wait(self, baseline):
-        """Return the expected seconds from arrival until a slot is free."""
+        """Return the expected time from arrival until a slot is free, in seconds."""
         return self._service_seconds(baseline) * max(0.0, self._occupancy() - 1.0)
 
     def _service_seconds(self, baseline):
-        # Failure: with heavy-tailed service times the averages of equal servers
-        # differ by half from moment to moment; all entries ran to the one that
-        # looked quickest and queued there while the others had free slots.
+        # With heavy-tailed service times the averages of equal servers differ by
+        # half from moment to moment.  If they counted, all entries would queue at the
+        # seemingly fastest server while the others have free slots.
         told = self._load.service_us / 1e6
         if told < SLOW_SERVICE_FACTOR * baseline:
             return baseline
@@ -170,16 +172,16 @@
         return trust * told + (1 - trust) * baseline
 
     def _pace(self):
-        # An owner tells each change of its host's pace at once, so the last
-        # one told holds for as long as the owner is heard of at all.
+        # The owner reports each change of its host's slowdown at once, so the last
+        # value holds for as long as reports arrive at all.
         if now() - self._reported_at > PACE_SECONDS:
             return 1.0
         return self._load.pace / 100
 
     def _occupancy(self):
-        # Failure: nothing is known lately of a server that has become slow, so
-        # it looks free, and each entry sends it a dozen calls before the first
-        # answer tells.  Until something is heard, two calls make it look full.
+        # A server that has become slow looks free while there is no recent report,
+        # and each entry would send it a dozen calls before the first answer shows
+        # the slowdown.  Until a report arrives, two calls make it look full.
         load = self._load
         trust = self._trust(LOAD_SECONDS)
         if not trust:
@@ -188,15 +190,15 @@
         return (self.in_flight + others * trust + 1) / max(1, load.limit)
 
     def begin(self):
-        """Note that a call goes there."""
+        """Count a call sent to the server."""
         self.in_flight += 1
 
     def end(self):
-        """Note that a call ended."""
+        """Count a call as ended."""
         self.in_flight -= 1
 
     def update_load(self, load):
-        """Note the `Load` that came from the owner."""
+        """Store the `Load` reported by the owner."""
         self._load = load
         self._in_flight_at_report = self.in_flight
         self._reported_at = now()
@@ -205,28 +207,28 @@
             self._published_until = deadline_after(PUBLISHED_SECONDS)
 
     def mark_down(self):
-        """Note that the owner cannot be reached."""
+        """Mark the server as down because its owner cannot be reached."""
         self._load.state = ServerState.DOWN
 
     def should_withhold_body(self, size):
-        """Return whether to keep a body of `size` bytes until the owner asks for it.
+        """Return whether to hold back a body of `size` bytes until the owner requests it.
 
         Notes
         -----
-        Under overload one call is refused by several owners.  Bodies that come with
-        each of these offers fill the link of a host that can't run them, and hold up
-        what it does run.
+        Under overload one call is refused by several owners.  If each offer carried
+        the body, the bodies would fill the links of hosts that cannot run the call
+        and delay the calls that they do run.
         """
         refused = self._refused * _remaining_weight(self._refused_at, SERVICE_SECONDS)
         return size >= WITHHELD_BYTES and refused >= WITHHELD_SHARE
 
     def record_admission(self, refused):
-        """Note whether the owner refused a call."""
+        """Record whether the owner refused a call."""
         self._refused += REFUSAL_WEIGHT * (refused - self._refused)
         self._refused_at = now()
 
     def record_result(self, failed):
-        """Note whether a call that ran there failed; eject after too many."""
+        """Record whether a call failed; return whether the server is ejected for it."""
         self._failing += FAILURE_WEIGHT * (failed - self._failing)
         self._result_at = now()
         self._results += 1
@@ -246,5 +248,5 @@
 
 
 def _remaining_weight(at, seconds):
-    """Return how much what was seen at a point still counts, from 1 down to 0 over `seconds`."""
+    """Return the weight of an observation made at time `at`, from 1 to 0 over `seconds`."""
     return max(0.0, 1.0 - (now() - at) / seconds)
