--- a/caperstack/routing/budgets.py
+++ b/caperstack/routing/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets for retries and hedges, as a share of first tries."""
+"""Budgets that limit retries and hedges to a share of first attempts."""
 
 from dataclasses import dataclass
 
@@ -6,40 +6,41 @@
 
 __all__ = ["CallBudget", "FleetAllowance", "share_at_depth"]
 
-#: Tokens that a quiet service may save up, so that a lone failure can be retried.
+#: Capacity of the bucket.  A service with few calls saves up tokens, so that a single
+#: failure can be retried.
 MAX_TOKENS = 10.0
 
-#: Tokens of a service that was never called, for its first failures.
+#: Tokens of a new bucket, for failures among the first calls.
 INITIAL_TOKENS = 2.0
 
-#: A node that has just started may know itself alone, and would take the whole
-#: allowance for its own: it counts on this many others at least.
+#: Smallest number of nodes among which the fleet's allowance is divided.  A node that
+#: has just started may know no other and would claim the whole allowance.
 MIN_NODES = 8
 
 
 def share_at_depth(share, depth):
-    """Return the share that a call `depth` levels down its tree may add.
+    """Return the share of extra attempts for a call at `depth` in its call tree.
 
     Notes
     -----
-    If each of seven levels added a tenth, the lowest would see its load
-    doubled.  Halving the share at each level keeps the product of all levels
-    below ``exp(2 * share)`` however deep the tree is.
+    If each of seven levels added a tenth, the load of the lowest level would
+    double.  Halving the share at each level keeps the product of all levels
+    below ``exp(2 * share)`` for a tree of any depth.
     """
     return share / (1 << min(depth, 32))
 
 
 class CallBudget:
-    """A bucket that first tries fill by a share and extra tries empty by one.
+    """Token bucket: first attempts add a share of a token, extra attempts take one.
 
     Parameters
     ----------
     reserve : float
-        The most tokens that are saved up.
+        The capacity in tokens.
     start : float
-        The tokens of a service that was never called.
+        The initial number of tokens.
     per_second : float
-        Tokens that come without any calls.
+        Tokens added per second regardless of calls.
 
     Examples
     --------
@@ -59,22 +60,22 @@
         self._filled_at = now()
 
     def set_limits(self, reserve, per_second):
-        """Save up at most `reserve` tokens from now on, and gain so many a second."""
+        """Set the capacity in tokens and the tokens added per second."""
         self._reserve = reserve
         self._per_second = per_second
         self._tokens = min(self._tokens, reserve)
 
     def deposit(self, share):
-        """Count one first try that earns `share` of an extra one."""
+        """Add the `share` of a token that one first attempt earns."""
         self._tokens = min(self._reserve, self._tokens + share)
 
     def withdraw(self):
-        """Take one extra try; return whether there was one."""
+        """Take one token for an extra attempt; return whether one was left."""
         moment = now()
         if self._per_second:
             self.deposit((moment - self._filled_at) * self._per_second)
             self._filled_at = moment
-        # Sums of shares such as 0.1 fall short of whole numbers by rounding.
+        # Sums of shares such as 0.1 fall short of whole numbers by rounding errors.
         if self._tokens < 1.0 - 1e-9:
             return False
         self._tokens -= 1.0
@@ -83,16 +84,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetAllowance:
-    """What all nodes together may send beyond first tries, for each service.
+    """Limit of the extra attempts of all nodes together, for each service.
 
     Attributes
     ----------
     share : float
-        Of first tries.
+        Extra attempts as a share of first attempts.
     floor : float
-        Extra tries a window beside the share.
+        Extra attempts per window in addition to the share.
     window_seconds : float
-        The length of the window, which may begin at any moment.
+        The length of the window in seconds; the limit holds for a window that starts
+        at any time.
     """
 
     share: float
@@ -100,22 +102,22 @@
     window_seconds: float
 
     def budget(self, nodes):
-        """Return the `CallBudget` of one of `nodes`.
+        """Return the `CallBudget` of one node among `nodes`.
 
         Notes
         -----
-        Failure: a service fails part of its calls, each entry repeats within a
-        budget of its own, and together they send the service twice its load.
-        Each node's part is such that all sum to the whole: in any window a
-        bucket gives at most its reserve and what flows in, each a quarter of
-        the node's part of the floor.  The other half is left for calls that a
-        repeated call makes again, and for nodes that come and go.
+        With independent budgets, the retries of all entries together could double
+        the load of a service that fails part of its calls.  The parts of all nodes
+        therefore sum to at most the whole.  In any window a bucket grants at most
+        its capacity and its inflow, each a quarter of the node's part of the floor.
+        The other half is left for the calls that a retried call makes downstream,
+        and for nodes that join and leave.
         """
         part = self._floor_part(nodes)
         return CallBudget(max(1.0, part), min(1.0, part), part / self.window_seconds)
 
     def rebalance(self, budget, nodes):
-        """Bound `budget` anew: so many nodes are known now."""
+        """Adjust the limits of `budget` to the current number of nodes."""
         part = self._floor_part(nodes)
         budget.set_limits(max(1.0, part), part / self.window_seconds)
 
@@ -123,5 +125,5 @@
         return self.floor / max(MIN_NODES, nodes) / 4
 
     def deposit_share(self):
-        """Return what each first try earns; half of the share, for the same reason."""
+        """Return the share that a first attempt earns: half, as `budget` explains."""
         return self.share / 2
--- a/caperstack/routing/policies.py
+++ b/caperstack/routing/policies.py
@@ -1,4 +1,4 @@
-"""The ways to choose a backend server; one is ours, the others are baselines."""
+"""Policies that choose a backend server: ``load_aware`` and baselines to compare it with."""
 
 from dataclasses import dataclass, field
 from functools import singledispatch
@@ -14,21 +14,21 @@
     "policy_named",
 ]
 
-#: What a hop to another zone and to another region costs, both ways, in seconds.
+#: Round-trip time of a hop to another zone and to another region, in seconds.
 ZONE_HOP_SECONDS = 0.002
 REGION_HOP_SECONDS = 0.060
 
-#: How many candidates are compared: all of a small service, a sample of a large one.
+#: Candidates that are compared; a service with more members is sampled.
 SAMPLE_SIZE = 8
 
-#: Scores within this factor of the best count as equal.  Without it, all
-#: entries that heard the same report would run to the same server.
+#: Scores within this factor of the best count as equal.  Otherwise all entries with
+#: the same load report would choose the same server.
 NEAR_BEST_FACTOR = 1.1
 
 
 @dataclass(slots=True)
 class Context:
-    """Where the choice is made, and what is usual for the service."""
+    """Location of the entry, baseline duration of the service, and source of randomness."""
 
     zone: str
     region: str
@@ -38,29 +38,29 @@
 
 @dataclass
 class Random:
-    """Any server with equal chance."""
+    """Choose uniformly at random."""
 
 
 @dataclass
 class RoundRobin:
-    """One after the other."""
+    """Choose the servers in turn, in the order of their hosts."""
 
     turn: int = field(default=-1)
 
 
 @dataclass
 class LeastReported:
-    """The least in flight by the published reports."""
+    """Choose a server with the lowest published load."""
 
 
 @dataclass
 class PowerOfTwo:
-    """The less loaded of two random servers by the published reports."""
+    """Choose the server with the lower published load of two random ones."""
 
 
 @dataclass
 class LoadAware:
-    """The least expected time to answer, from own calls and loads that rode back."""
+    """Choose the shortest expected time to answer, by own calls and load reports."""
 
 
 _POLICIES = {
@@ -73,7 +73,7 @@
 
 
 def policy_named(name):
-    """Return a new policy object of that name."""
+    """Return a new instance of the policy called `name`."""
     return _POLICIES[name]()
 
 
@@ -88,7 +88,7 @@
     members : list
         Candidates with ``estimate``, ``zone`` and ``region``; not empty.
     context : Context
-        The place, the pace and the source of chance.
+        Location, baseline duration and source of randomness.
     """
     raise TypeError(f"no such policy: {policy!r}")
 
@@ -123,7 +123,7 @@
     scores = [m.estimate.expected_seconds(baseline) + _hop_seconds(m, context) for m in sample]
     bound = min(scores) * NEAR_BEST_FACTOR
     near = [m for m, score in zip(sample, scores, strict=True) if score <= bound]
-    # Among equals the own zone: bytes between zones are paid for.
+    # Prefer the own zone among equals: traffic between zones is billed.
     return context.rng.choice([m for m in near if m.zone == context.zone] or near)
 
 
--- a/caperstack/routing/service.py
+++ b/caperstack/routing/service.py
@@ -1,4 +1,4 @@
-"""What an entry keeps of one service: policy, budgets, and how long calls take."""
+"""Routing state of one service at an entry: policy, budgets and call durations."""
 
 from dataclasses import dataclass
 
@@ -10,29 +10,31 @@
 
 __all__ = ["INITIAL_BASELINE_SECONDS", "Attempts", "ServiceState"]
 
-#: The usual time of a service before its first answer, in seconds.
+#: Baseline duration of a service before its first answer, in seconds.
 INITIAL_BASELINE_SECONDS = 0.02
 
-#: The time over which the usual times follow, in seconds, and how many times
-#: longer than usual a call may count.
+#: Time constant of the moving averages of durations, in seconds.
 AVERAGING_SECONDS = 10.0
+
+#: Durations enter the average of a service as at most this multiple of it.
 OUTLIER_FACTOR = 10.0
 
-#: Routes whose times are told apart; beyond that they are learnt anew.
+#: Routes with an average of their own; at the bound all are dropped and measured again.
 MAX_ROUTES = 500
 
-#: Answers after which a route's usual time counts.
+#: Answers of a route from which on its average duration is used.
 MIN_ROUTE_ANSWERS = 10
 
-#: A hedge goes out after this many usual times of the service where callers
-#: have no objective.
+#: Delay of a hedge in baseline durations of the service, and its minimum, where
+#: callers have no latency objective.
 HEDGE_DELAY_FACTOR = 4.0
 MIN_HEDGE_DELAY_SECONDS = 0.02
 
-#: Where they have one, it goes out when a second answer that takes this many
-#: usual times would just be in time, but not before the first has taken as many
-#: as nine in ten do.  Where a quick second answer (this many) would be late all
-#: the same, it goes out after this many.
+#: With an objective the hedge is sent as late as possible: when a second answer that
+#: takes HEDGE_MARGIN_FACTOR baseline durations of the route would just meet the
+#: objective, but not before MIN_HEDGE_DELAY_FACTOR durations, within which nine in ten
+#: calls are answered.  If even a fast second answer, after FAST_ANSWER_FACTOR
+#: durations, would miss the objective, the delay is LATE_HEDGE_DELAY_FACTOR durations.
 HEDGE_MARGIN_FACTOR = 1.15
 MIN_HEDGE_DELAY_FACTOR = 1.5
 FAST_ANSWER_FACTOR = 0.9
@@ -41,38 +43,38 @@
 
 @dataclass(slots=True)
 class Attempts:
-    """How many more backend servers one call may be sent to, hedges included."""
+    """The number of attempts that one call has left, including hedges."""
 
     left: int
 
     def take(self):
-        """Reserve one attempt; return whether there was one."""
+        """Reserve one attempt; return whether one was left."""
         if self.left <= 0:
             return False
         self.left -= 1
         return True
 
     def give_back(self):
-        """The reserved attempt was not sent to a backend server."""
+        """Return a reserved attempt that was not sent to a backend server."""
         self.left += 1
 
 
 class ServiceState:
-    """What this entry keeps of one service.
+    """Routing state of one service at this entry.
 
     Parameters
     ----------
     policy_name : str
-        The way of choosing a server.
+        The name of the policy that chooses a server.
     retries : caperstack.routing.budgets.CallBudget
-        What may be sent beyond first tries.
+        The budget for attempts beyond the first.
     hedges : caperstack.routing.budgets.CallBudget, optional
-        What of it may be hedges, if that has a budget of its own.
+        The budget for hedges; one of their own if not given.
 
     Attributes
     ----------
     allowance_version : int
-        The version of the members among whom the fleet's allowance was shared out.
+        The version of the membership for which the fleet's allowance was last divided.
     """
 
     def __init__(self, policy_name, retries, hedges=None):
@@ -86,22 +88,22 @@
 
     @property
     def baseline_seconds(self):
-        """How long a call usually takes, in seconds."""
+        """The average duration of a call, in seconds."""
         return self._baseline.value
 
     def assume_duration(self, call):
-        """Take the guess at the work of `call` for usual until the first answer."""
+        """Use the estimated work of `call` as the baseline until the first answer."""
         guess = guessed_seconds(call)
         if guess:
             self._baseline.assume(guess)
 
     def route_seconds(self, route):
-        """How long calls of `route` usually take, in seconds; 0 if it is not known yet."""
+        """Return the average duration of calls of `route` in seconds; 0 if not yet known."""
         average = self._routes.get(route)
         return average.value if average and average.count >= MIN_ROUTE_ANSWERS else 0.0
 
     def record_duration(self, seconds, route=""):
-        """Note how long an answered call took; a very long one counts in part."""
+        """Record the duration of an answered call; very long ones are capped."""
         self._baseline.add(min(seconds, OUTLIER_FACTOR * self._baseline.value))
         average = self._routes.get(route)
         if average is None:
@@ -111,15 +113,14 @@
         average.add(min(seconds, LATE_HEDGE_DELAY_FACTOR * average.value))
 
     def hedge_delay(self, call):
-        """Return after how many seconds a second attempt at `call` makes sense.
+        """Return the delay in seconds after which to hedge `call`.
 
         Notes
         -----
-        Which load it answers: a backend server runs listings and their answers
-        are lost, or it has become slow, and the callers hear nothing until
-        their deadline.  A second attempt at the last moment at which it can
-        still be in time rescues most of them; sooner, it would repeat calls
-        that are only a little slower than usual.
+        Hedging covers servers whose answers get lost or that have become slow, so
+        that callers would get no answer until their deadline.  A hedge at the last
+        moment at which it can still meet the objective saves most of these calls;
+        an earlier one would duplicate calls that are only slightly slow.
         """
         baseline = self.route_seconds(call.route)
         if not call.objective_at or call.objective_at >= call.deadline or not baseline:
--- a/caperstack/routing/split.py
+++ b/caperstack/routing/split.py
@@ -1,18 +1,18 @@
-"""Share a route's calls among services in the exact proportions of their weights."""
+"""Split the calls of a route among services in proportion to their weights."""
 
 __all__ = ["Splitter"]
 
-#: Routes whose counts are kept; a configuration has a few hundred that split.
+#: Routes whose state is kept; a configuration has a few hundred with a split.
 MAX_ROUTES = 1000
 
 
 class Splitter:
-    """Smooth weighted round robin, for each route on its own.
+    """Smooth weighted round robin, separately for each route.
 
     Notes
     -----
-    Drawing at random would miss a weight of one tenth by a third over a
-    hundred calls.  The round robin is never more than one call off.
+    Random sampling misses a weight of one tenth by a third over a hundred calls.
+    Round robin is never off by more than one call.
 
     Examples
     --------
--- a/caperstack/routing/table.py
+++ b/caperstack/routing/table.py
@@ -1,19 +1,19 @@
-"""Routes by host and path prefix, and how each service is called."""
+"""Routing table: routes by host and path prefix, and the settings of each service."""
 
 from dataclasses import dataclass, field
 
 __all__ = ["ANY_HOST", "EffectiveService", "Route", "RoutingTable", "WeightedService"]
 
-#: The host of a route that is good for every Host header.
+#: The host of a route that matches every Host header.
 ANY_HOST = ""
 
-#: Backend servers that one call may be sent to, where the route does not say.
+#: Default number of backend servers that one call may be sent to.
 ATTEMPTS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """One part of a route's traffic; parts are in proportion to ``weight``."""
+    """A service and its weight in the split of a route's traffic."""
 
     service: str
     weight: float
@@ -21,25 +21,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """How the calls of one host and path prefix are treated.
+    """A route: how calls with one host and path prefix are handled.
 
     Attributes
     ----------
     path : str
-        The prefix.  ``/book`` is no prefix of ``/bookings``, and ``/book/`` none
-        of ``/book``.
+        The prefix, by whole segments: ``/book`` does not match ``/bookings``, and
+        ``/book/`` does not match ``/book``.
     parts : tuple of WeightedService
-        The services that share the traffic; one for most routes.
+        The services among which the traffic is split; one for most routes.
     methods : tuple of str
-        The methods that it is for; empty for all.
+        The HTTP methods that the route matches; empty for all.
     idempotent : bool or None
-        Whether calls may run more than once; ``None`` lets the method decide.
+        Whether calls may run more than once; ``None`` derives it from the method.
     criticality : int
-        The higher, the longer the route outlasts others under overload.
+        Under overload, calls of routes with a lower value are refused first.
     deadline_seconds : float
-        The longest time that a caller is kept waiting.
+        The longest time that a caller waits, in seconds.
     objective_seconds : float
-        The time within which an answer is worth most; the deadline if not given.
+        The latency objective in seconds, within which an answer is worth most; the
+        deadline if the configuration gives none.
     attempts : int
         The most backend servers that one call may be sent to.
     """
@@ -57,11 +58,11 @@
 
     @property
     def service(self):
-        """The first service, for routes that have one."""
+        """The first service; the only one for a route without a split."""
         return self.parts[0].service
 
     def allows(self, method, path):
-        """Return whether it is for `method`, and for `path` where its prefix ends at a slash."""
+        """Return whether the route matches `method`, and `path` if its prefix ends in a slash."""
         if self.path.endswith("/") and not path.startswith(self.path):
             return False
         return not self.methods or method in self.methods
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectiveService:
-    """How a service is called, every field set."""
+    """The settings of a service with all defaults filled in."""
 
     policy: str = "load_aware"
     retry_share: float = 0.1
@@ -81,7 +82,7 @@
 
 @dataclass(slots=True)
 class RoutingTable:
-    """Routes by host and prefix, services by name, and what was left out and why.
+    """Routes by host and prefix, services by name, and rejected items with the reason.
 
     Attributes
     ----------
@@ -95,21 +96,21 @@
     evacuated_zones: frozenset = frozenset()
 
     def add(self, route):
-        """Add a `Route`; among equal prefixes those that name methods go first."""
+        """Add a `Route`; for equal prefixes, routes restricted to methods take precedence."""
         key = (route.host.lower(), _key(route.path))
         found = self.routes.setdefault(key, [])
         found.append(route)
         found.sort(key=lambda r: not r.methods)
 
     def route(self, method, path, host=ANY_HOST):
-        """Return the `Route` with the longest prefix of `path` that allows `method`.
+        """Return the `Route` with the longest prefix of `path` that matches `method`.
 
         Parameters
         ----------
         method, path : str
-            Of the request, the path without its query.
+            The method and path of the request, without the query string.
         host : str
-            The Host header; routes of that host go before those of any host.
+            The Host header; routes of that host take precedence over those of any host.
 
         Returns
         -------
