--- a/caperstack/routing/estimates.py
+++ b/caperstack/routing/estimates.py
@@ -127,9 +127,9 @@
         show that a server has recovered, and it gets none while others look better.
         """
         own = self._failing * _remaining_weight(self._result_at, SERVICE_SECONDS)
-        return max(own, self._load.failing / 100 * self._trust(SERVICE_SECONDS))
+        return max(own, self._load.failing / 100 * self._report_weight(SERVICE_SECONDS))
 
-    def _trust(self, seconds):
+    def _report_weight(self, seconds):
         """Return the weight of the last load report, decaying from 1 to 0 over `seconds`."""
         return _remaining_weight(self._reported_at, seconds)
 
@@ -151,11 +151,11 @@
         occupancy = self._occupancy()
         usable = max(0.05, 1.0 - self.failing)
         service = self._service_seconds(baseline)
-        preference = OCCUPANCY_PENALTY * min(1.0, occupancy)
-        held = VISIT_SECONDS if self.slowed else 0.0
+        penalty = OCCUPANCY_PENALTY * min(1.0, occupancy)
+        delay = VISIT_SECONDS if self.slowed else 0.0
         if self.state == ServerState.COLD:
-            held += COLD_PENALTY_FACTOR * baseline
-        return held + service * (max(1.0, occupancy) + preference) / usable**2
+            delay += COLD_PENALTY_FACTOR * baseline
+        return delay + service * (max(1.0, occupancy) + penalty) / usable**2
 
     def expected_wait(self, baseline):
         """Return the expected time from arrival until a slot is free, in seconds."""
@@ -165,11 +165,11 @@
         # With heavy-tailed service times the averages of equal servers differ by
         # half from moment to moment.  If they counted, all entries would queue at the
         # seemingly fastest server while the others have free slots.
-        told = self._load.service_us / 1e6
-        if told < SLOW_SERVICE_FACTOR * baseline:
+        reported = self._load.service_us / 1e6
+        if reported < SLOW_SERVICE_FACTOR * baseline:
             return baseline
-        trust = self._trust(SERVICE_SECONDS)
-        return trust * told + (1 - trust) * baseline
+        weight = self._report_weight(SERVICE_SECONDS)
+        return weight * reported + (1 - weight) * baseline
 
     def _pace(self):
         # The owner reports each change of its host's slowdown at once, so the last
@@ -183,11 +183,11 @@
         # and each entry would send it a dozen calls before the first answer shows
         # the slowdown.  Until a report arrives, two calls make it look full.
         load = self._load
-        trust = self._trust(LOAD_SECONDS)
-        if not trust:
+        weight = self._report_weight(LOAD_SECONDS)
+        if not weight:
             return (self.in_flight + 1) / UNREPORTED_LIMIT
         others = max(0, load.in_flight + load.queued - self._in_flight_at_report)
-        return (self.in_flight + others * trust + 1) / max(1, load.limit)
+        return (self.in_flight + others * weight + 1) / max(1, load.limit)
 
     def begin(self):
         """Count a call sent to the server."""
--- a/caperstack/routing/policies.py
+++ b/caperstack/routing/policies.py
@@ -121,8 +121,8 @@
     sample = members if len(members) <= SAMPLE_SIZE else context.rng.sample(members, SAMPLE_SIZE)
     baseline = context.baseline_seconds
     scores = [m.estimate.expected_seconds(baseline) + _hop_seconds(m, context) for m in sample]
-    bound = min(scores) * NEAR_BEST_FACTOR
-    near = [m for m, score in zip(sample, scores, strict=True) if score <= bound]
+    threshold = min(scores) * NEAR_BEST_FACTOR
+    near = [m for m, score in zip(sample, scores, strict=True) if score <= threshold]
     # Prefer the own zone among equals: traffic between zones is billed.
     return context.rng.choice([m for m in near if m.zone == context.zone] or near)
 
