--- a/caperstack/quarantine/__init__.py
+++ b/caperstack/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the backend servers which run them: recognised, told, kept away."""
+"""Quarantine of requests that crash backend servers: detection, exchange and refusal."""
--- a/caperstack/quarantine/crash.py
+++ b/caperstack/quarantine/crash.py
@@ -1,4 +1,4 @@
-"""Tell the end of a backend server from other losses, and what was at work then."""
+"""Detection of backend server crashes, and of the calls that were running then."""
 
 import asyncio
 from collections import deque
@@ -12,35 +12,36 @@
 
 __all__ = ["BackendResult", "CrashDetector", "PendingCall", "ServerCrash"]
 
-#: How long the question waits whether the backend server still listens, in
-#: seconds; on its own host a connection takes 0.2 ms, and so does its refusal.
+#: Timeout of the probe whether the backend server still listens, in seconds.  On the
+#: same host a connection is accepted or refused within 0.2 ms.
 PROBE_TIMEOUT_SECONDS = 0.05
 
-#: Calls without an answer that may be at work still: the latest until the server's
-#: last sign of life, twice the slots of the largest backend server of the sheets,
-#: and the first ones after it.  What comes later to a server that has gone silent
-#: did not make it so.
+#: Unanswered calls that are kept because they may still be running: this many of the
+#: latest up to the server's last response, and as many of the first after it.  It is
+#: twice the slots of the largest specified backend server.  Calls that reach a hung
+#: server later did not cause the hang.
 MAX_UNANSWERED = 36
 
-#: Bits of an end's number that tell it apart from others of the same microsecond;
-#: with the wall clock before them the number fits into 64.
+#: Low bits of a crash number, a hash that distinguishes crashes in the same microsecond.
+#: With the wall clock in the high bits the number fits into 64 bits.
 HASH_BITS = 12
 
 
 class BackendResult(IntEnum):
-    """What a call has left at the backend server when it is over for its owner."""
+    """What is known of a call at the backend server when the owner is done with it."""
 
-    #: Nothing, and the server lives.
+    #: The server answered, so it is alive and the call has ended.
     ANSWERED = 0
-    #: Nothing: it never ran; whoever said so may be another server at the address.
+    #: The call never ran.  Another server at the address may have said so, so this is
+    #: no evidence that the server is alive.
     NOT_RUN = 1
-    #: It may be at work there still.
+    #: The call may still be running.
     UNANSWERED = 2
 
 
 @dataclass(frozen=True, slots=True)
 class PendingCall:
-    """What is kept of a call that is at work; its body is not, which may be large."""
+    """What is kept of a running call; not its body, which may be large."""
 
     origin: str
     number: int
@@ -50,22 +51,22 @@
 
     @classmethod
     def of(cls, call):
-        """Return what to keep of `call`."""
+        """Return the `PendingCall` for `call`."""
         return cls(call.origin, call.id, call.request_id, call.fingerprint, call.deadline)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerCrash:
-    """A backend server that ended while calls were at work.
+    """A crash of a backend server while calls were running.
 
     Attributes
     ----------
     number : int
-        Names this end among all ends of all servers; a later one has a higher number.
+        Identifies the crash among those of all servers; a later one has a higher number.
     instance : str
-        The instance that ended.
+        The instance that crashed.
     pending_calls : dict
-        The `PendingCall` of each call that was at work, by entry and number.
+        The `PendingCall` of each running call, by entry and number.
     """
 
     number: int
@@ -74,7 +75,7 @@
 
 
 class CrashDetector:
-    """Knows what is at work at one backend server, and notices when it ends.
+    """Track the calls running at one backend server, and detect its crashes.
 
     Parameters
     ----------
@@ -82,14 +83,15 @@
         With ``async listens(deadline)``, as
         `caperstack.backend.client.BackendClient`.
     standing : caperstack.admission.standing.ServerStanding
-        Which instance it is and whether it leaves.
+        The instance of the server and its state.
 
     Notes
     -----
-    A lost connection alone says little: the server may have forgotten an idle
-    one, lost an answer, or been cut off for a moment, and lives on.  It has ended
-    if it refuses the next connection, or if another start of it is listed while
-    calls of the last one are still out.  A server that leaves ends in peace.
+    A lost connection alone is no proof of a crash: the server may have closed an idle
+    connection, lost an answer, or been unreachable for a moment.  It has crashed if
+    it refuses the next connection, or if a restart of it is listed while calls of
+    the previous run are still unanswered.  The exit of a server that is leaving or
+    stopping is not a crash.
     """
 
     def __init__(self, client, standing):
@@ -104,21 +106,21 @@
         self._listeners = []
 
     def listen(self, listener):
-        """Call ``listener(end)`` with each `ServerCrash`."""
+        """Call ``listener(crash)`` with each `ServerCrash`."""
         self._listeners.append(listener)
 
     def begin(self, call):
-        """`call` goes to the backend server."""
+        """Record that `call` is sent to the backend server."""
         self._running[call.origin, call.id] = PendingCall.of(call)
 
     def finish(self, call, left):
-        """`call` is over here; `left` tells what it has left at the backend server.
+        """Record that the owner is done with `call`, with the `BackendResult` `left`.
 
         Notes
         -----
-        Failure: a caller leaves, or a hedge has won, and the call is cancelled;
-        the server works on, and ends of it.  Nothing that was known to be at work
-        would bear the blame, and others would.
+        A call is cancelled when its caller disconnects or another attempt has won a
+        hedge.  The server may go on with it and crash, so an unanswered call is
+        kept as a possible cause; otherwise only other calls would be blamed.
         """
         work = self._running.pop((call.origin, call.id), None)
         if left == BackendResult.ANSWERED:
@@ -129,7 +131,12 @@
             self._unanswered.append(work)
 
     def record_response(self):
-        """The backend server has answered something: what is over by now did not end it."""
+        """Record a response of the server, which rules out calls past their deadline.
+
+        Notes
+        -----
+        A call whose deadline has passed when the server responds did not crash it.
+        """
         self._last_response_at = now()
         self._crash_recorded = False
         while self._unanswered and (
@@ -139,7 +146,7 @@
             self._unanswered.popleft()
 
     async def lost(self, call):
-        """Return the `ServerCrash` that took `call`, or ``None`` if the server lives."""
+        """Return the `ServerCrash` in which `call` was lost, or ``None`` if the server is alive."""
         if not self._includes(call):
             if self._probe_task is None:
                 self._probe_task = asyncio.create_task(self._probe())
@@ -157,16 +164,16 @@
             listens = await self._client.listens(deadline_after(PROBE_TIMEOUT_SECONDS))
         finally:
             self._probe_task = None
-        if listens is False and not self._leaves:
+        if listens is False and not self._is_leaving:
             self._record_crash()
 
     @property
-    def _leaves(self):
+    def _is_leaving(self):
         return self._standing.state in (ServerState.LEAVING, ServerState.STOPPING)
 
     def on_server_restart(self):
-        """Another start of the backend server is listed: what the last one ran ended with it."""
-        if self._leaves:
+        """Handle a listed restart of the server: calls of the previous run ended with it."""
+        if self._is_leaving:
             self._unanswered.clear()
         self._record_crash()
         self._crash_recorded = False
@@ -176,9 +183,9 @@
         return wall_microseconds() << HASH_BITS | hash_number(name) >> (64 - HASH_BITS)
 
     def _record_crash(self):
-        # Failure: a server goes silent without breaking a connection, and its
-        # calls are given up long before another start of it is listed.  What it
-        # was at work on is what was out at its last sign of life.
+        # A server may hang without closing a connection, and its calls time out long
+        # before a restart is listed.  The calls that were in flight at its last
+        # response are the ones that were running.
         pending_calls = [
             work for work in self._unanswered if work.deadline > self._last_response_at
         ]
@@ -186,9 +193,9 @@
         self._unanswered.clear()
         self._running.clear()
         if not pending_calls or self._crash_recorded:
-            # Failure: calls that were sent to the address after the end, and met
-            # the next start before the list names it, make a second end of one;
-            # what was at work at two ends would have three to its name.
+            # Calls sent to the address after the crash may reach the restarted server
+            # before the restart is listed.  They must not count as a second crash, or
+            # a request that was running at two crashes would be charged with three.
             return
         self._crash_recorded = True
         by_number = {(work.origin, work.number): work for work in pending_calls}
--- a/caperstack/quarantine/exchange.py
+++ b/caperstack/quarantine/exchange.py
@@ -1,4 +1,4 @@
-"""Tell peers which requests were at work when backend servers ended."""
+"""Exchange of suspect requests between the nodes."""
 
 import asyncio
 from functools import singledispatchmethod
@@ -9,22 +9,23 @@
 
 __all__ = ["SuspectExchange"]
 
-
-#: Requests that one line names, of those about which something is new.
+#: Largest number of requests that are listed in one log line.
 MAX_LOGGED_REQUESTS = 20
 
 
 class SuspectExchange:
-    """Pass on what is new of suspects, and tell a new peer of the grave ones.
+    """Send new information on suspects to peers, and the restricted ones to a new peer.
 
     Notes
     -----
-    A node passes each piece of news on once, to the few peers that it tells of
-    changed settings, so an end costs each node a bounded number of messages,
-    however large the fleet is; all that is learnt in one turn of the loop goes in
-    one.  Failure: a node starts, knows nothing, and sends a request on that all
-    others keep away.  Whoever connects hears of the grave suspects before
-    anything else.
+    A node forwards each change once, to the few peers that it also notifies of
+    changed settings.  A crash thus costs each node a bounded number of messages,
+    whatever the size of the fleet.  All changes of one event loop iteration are sent
+    in one message.
+
+    A node that has just started knows no suspects and would send requests that all
+    others refuse.  A peer that connects is therefore sent the restricted suspects
+    before anything else.
     """
 
     def __init__(self):
@@ -35,7 +36,7 @@
         self._events = None
 
     async def start(self, kernel):
-        """Follow connections and the suspects."""
+        """Register for connection events and for changes of the suspects."""
         self._suspects = kernel.find("suspects")
         self._sync = kernel.find("settings sync")
         self._metrics = kernel.find("metrics")
@@ -45,29 +46,29 @@
         kernel.find("peer port").hook(self)
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing; there are no resources to release."""
 
     def opened(self, _host, connection):
-        """A connection is up, dialled by either side."""
+        """Send the restricted suspects over a new connection, opened by either side."""
         restricted = self._suspects.restricted()
         if not restricted:
             return
         try:
             connection.send(Suspicions([suspicion_message(one) for one in restricted]))
         except PeerError:
-            # The next connection to that peer tells it again.
+            # They are sent again over the next connection to that peer.
             self._metrics.count("unsent_notices")
 
     def closed(self, host):
-        """A connection is down."""
+        """Ignore a closed connection."""
 
     def take(self, host, _connection, message, _body):
-        """Take a message that came over a connection."""
+        """Handle a message received over a connection."""
         self._handle(message, host)
 
     @singledispatchmethod
     def _handle(self, message, host):
-        """Other messages are somebody else's."""
+        """Ignore messages of other types."""
 
     @_handle.register
     def _(self, message: Suspicions, host):
@@ -80,18 +81,20 @@
         self._pending[request] = source
 
     def _send_pending(self):
-        news, self._pending = self._pending, {}
+        changes, self._pending = self._pending, {}
         hosts = self._sync.told_of_news()
         self._events.belief(
             "suspects",
-            asks=[f"{request:016x}" for request in list(news)[:MAX_LOGGED_REQUESTS]],
-            requests=len(news),
-            sources=sorted(set(news.values())),
+            asks=[f"{request:016x}" for request in list(changes)[:MAX_LOGGED_REQUESTS]],
+            requests=len(changes),
+            sources=sorted(set(changes.values())),
             told=len(hosts),
         )
         for host in hosts:
-            # Whoever told it knows it.
-            told = [self._suspects.suspicion(r) for r, source in news.items() if source != host]
-            items = [suspicion_message(one) for one in told if one is not None]
+            # The peer that sent the information already has it.
+            suspicions = [
+                self._suspects.suspicion(r) for r, source in changes.items() if source != host
+            ]
+            items = [suspicion_message(one) for one in suspicions if one is not None]
             if items:
                 self._sync.send(host, Suspicions(items))
--- a/caperstack/quarantine/suspects.py
+++ b/caperstack/quarantine/suspects.py
@@ -1,4 +1,4 @@
-"""Which requests were at work when backend servers ended, and what follows from it."""
+"""Requests that were running when backend servers crashed, and how they may be sent."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -9,43 +9,43 @@
 
 __all__ = ["Clearing", "Crash", "Suspects", "Suspicion", "Verdict"]
 
-#: Ends of backend servers at which a request was at work, from which on it runs alone
-#: among such requests, and from which on it is not sent at all.  A bystander is at
-#: one by chance, and at a second where it was repeated beside the culprit; run
-#: apart from then on, the culprit alone reaches the third.
+#: Number of server crashes during which a request was running, from which on it is
+#: isolated (one such request at a time), and from which on it is not sent at all.  An
+#: unrelated request is present at one crash by chance, and at a second if it was
+#: retried next to the cause.  With isolation only the cause reaches the third.
 MIN_CRASHES_ALONE = 2
 MIN_CRASHES_QUARANTINED = 3
 
-#: For how long a request is kept away after its third end, in seconds; twice as
-#: long after each further one, up to the longest.  It may then be tried again,
-#: alone: the trial costs a server and what runs there, and it ends the quarantine
-#: of a request whose fault was mended meanwhile.
+#: Duration of the quarantine after the third crash in seconds; it doubles with each
+#: further crash up to the maximum.  Then the request may be tried again in isolation.
+#: The trial may crash a server with all calls on it, but it ends the quarantine of a
+#: request whose fault has been fixed.
 QUARANTINE_SECONDS = 300.0
 MAX_QUARANTINE_SECONDS = 3600.0
 
-#: How long nothing may be heard of a suspect until it is forgotten, in seconds.
+#: A suspect without new information for this time is dropped, in seconds.
 SUSPECT_TTL_SECONDS = 7200.0
 
-#: A request that ran whole here within so many seconds before an end does not
-#: bear the blame for it.
+#: A request that completed on this node within this time before a crash is not
+#: blamed for the crash, in seconds.
 COMPLETION_VALID_SECONDS = 10.0
 
-#: Requests that are remembered as having run whole; a node answers up to 60 a
-#: second, so a request that comes each second is always among them.
+#: Completed requests that are remembered.  A node answers up to 60 calls per second,
+#: so a request that comes every second is always among them.
 MAX_COMPLETIONS = 256
 
-#: Suspects and ends of one that are kept: 200 kB at the most.
+#: Suspects that are kept, and crashes per suspect: at most 200 kB.
 MAX_SUSPECTS = 512
 MAX_CRASHES_PER_SUSPECT = 8
 
 
 class Clearing(IntEnum):
-    """How far a whole run of the request has cleared it of an end."""
+    """How far a completed run of the request has cleared it of a crash."""
 
     NONE = 0
-    #: It ran whole for another caller.
+    #: It completed for another caller.
     OTHERS = 1
-    #: It ran whole for the same caller.
+    #: It completed for the same caller.
     ALL = 2
 
 
@@ -59,16 +59,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """The end of a backend server, as it bears on one request.
+    """The crash of a backend server, as recorded for one request.
 
     Attributes
     ----------
     number : int
-        Names it among all ends of all servers; a later one has a higher number.
+        Identifies the crash among those of all servers; a later one has a higher number.
     caller : int
-        Hash of who asked for the request that was at work.
+        Hash of the caller of the request that was running.
     clearing : Clearing
-        Whether the request has run whole since.
+        Whether a completed run has cleared the request of this crash.
     """
 
     number: int
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspicion:
-    """All that is known of one request; of two, the union is known."""
+    """All crashes known for one request; two suspicions are merged as a union."""
 
     request: int
     ends: tuple
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True)
 class _Record:
-    """What is kept of one request; ``told`` is the verdict that was logged last."""
+    """The state of one suspect; ``logged_verdict`` is the last verdict in the log."""
 
     ends: dict = field(default_factory=dict)
     quarantined_until: float = 0.0
@@ -94,14 +94,14 @@
     logged_verdict: int = Verdict.FREE
 
     def count(self, caller):
-        """Return how many ends speak against the request when `caller` asks for it.
+        """Return how many crashes count against the request when `caller` sends it.
 
         Notes
         -----
-        A request may be fatal for one caller only, whose data it needs, or for
-        all.  Ends under one caller speak against that caller's requests alone, so
-        that others who ask for the same stay served; once it was fatal for two
-        and nobody got an answer, it counts for everybody.
+        A request may crash servers for one caller only, whose data it needs, or for
+        all callers.  Crashes for one caller count against that caller alone, so that
+        the same request of others is still served.  Once it has crashed servers for
+        two callers and nobody has got an answer, the crashes count for everybody.
         """
         own = sum(e.caller == caller and e.clearing < Clearing.ALL for e in self.ends.values())
         open_ends = [e for e in self.ends.values() if e.clearing == Clearing.NONE]
@@ -110,24 +110,24 @@
 
     @property
     def max_count(self):
-        """The count for the caller against whom most speaks."""
+        """The highest count among the callers."""
         return max(self.count(caller) for caller in {e.caller for e in self.ends.values()})
 
 
 class Suspects:
-    """Judge requests by the ends of backend servers at which they were at work.
+    """Decide how requests may be sent, by the crashes during which they were running.
 
     Notes
     -----
-    Failure: a request ends each backend server that runs it, comes again under a
-    new id at any node, and is repeated by entries whose call was lost; a service
-    loses all its servers again and again.  Each node judges by itself, from the
-    ends that owners have told; of two accounts of a request it takes the union,
-    so their order does not matter and none is lost by being told twice.
-
-    It suffices since a run that ends whole clears the request, wherever it ran:
-    what never ran whole at three ends is either their cause or so rare that
-    keeping it away harms nobody else.
+    A request that crashes every backend server that runs it may come again under a
+    new id at any node, and entries that lost the call retry it.  Without quarantine
+    a service would lose all its servers again and again.
+
+    Each node decides on its own, from the crashes that owners report.  Reports on a
+    request are merged as a union, so neither their order nor repetition matters.
+    A completed run clears the request, wherever it ran.  A request that was running
+    at three crashes and never completed is therefore either their cause, or so rare
+    that refusing it affects nobody else.
     """
 
     def __init__(self):
@@ -138,23 +138,23 @@
         self._metrics = None
 
     async def start(self, kernel):
-        """Show how many there are."""
+        """Look up the services needed, and register the gauges."""
         self._events = kernel.find("events")
         self._metrics = kernel.find("metrics")
         self._metrics.gauge("suspects", "requests at work when servers ended", self._suspected)
         self._metrics.gauge("quarantined", "requests that are not sent", self._quarantined)
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing; there are no resources to release."""
 
     def listen(self, listener):
-        """Call ``listener(request, source)`` when more is known of a request than before."""
+        """Call ``listener(request, source)`` when new information on a request arrives."""
         self._listeners.append(listener)
 
     # -- verdicts ---------------------------------------------------------
 
     def count(self, fingerprint):
-        """Return how many ends of backend servers speak against a request."""
+        """Return how many crashes count against a request."""
         record = self._records.get(fingerprint.request)
         return 0 if record is None else record.count(fingerprint.caller)
 
@@ -172,16 +172,16 @@
         return Verdict.ALONE if count >= MIN_CRASHES_ALONE else Verdict.FREE
 
     def refusal(self, call):
-        """Return the `NotRun` for a call that must not be sent, or ``None``."""
+        """Return the `NotRun` for a call whose request is quarantined, or ``None``."""
         if self.verdict(call.fingerprint) != Verdict.QUARANTINED:
             return None
         wait = time_left(self._records[call.fingerprint.request].quarantined_until)
         return NotRun("request is quarantined: servers ended of it", wait)
 
-    # -- what is learnt ---------------------------------------------------
+    # -- updates ----------------------------------------------------------
 
     def record_crash(self, number, fingerprints):
-        """A backend server ended while these requests were at work."""
+        """Record the crash of a backend server while these requests were running."""
         for fingerprint in fingerprints:
             clearing = self._clearing_by_completions(fingerprint)
             if clearing != Clearing.ALL:
@@ -189,12 +189,12 @@
                 self.take(Suspicion(fingerprint.request, (end,)))
 
     def implicates(self, number, fingerprint):
-        """Return whether that end speaks against a request."""
+        """Return whether crash `number` is recorded for a request."""
         record = self._records.get(fingerprint.request)
         return record is not None and number in record.ends
 
     def record_completion(self, fingerprint):
-        """A request ran whole: no end until now was of its making."""
+        """Record that a request completed, and clear it of the crashes before."""
         if not fingerprint.request:
             return
         until = deadline_after(COMPLETION_VALID_SECONDS)
@@ -217,7 +217,7 @@
         return max(end.clearing, Clearing.ALL if same else Clearing.OTHERS)
 
     def _clearing_by_completions(self, fingerprint):
-        """Return the `Clearing` by runs that ended whole here a short while ago."""
+        """Return the `Clearing` by recent completed runs on this node."""
         moment = now()
         if self._completions.get(fingerprint, 0.0) > moment:
             return Clearing.ALL
@@ -226,12 +226,12 @@
         return Clearing.NONE
 
     def take(self, suspicion, source=""):
-        """Take over what `source` knows of a request, this node itself if empty.
+        """Merge the `suspicion` of the peer `source`; of this node itself if empty.
 
         Returns
         -------
         bool
-            Whether anything of it is news.
+            Whether it contained anything new.
         """
         if not suspicion.ends or not suspicion.request:
             return False
@@ -256,12 +256,12 @@
         if further and count >= MIN_CRASHES_QUARANTINED:
             seconds = QUARANTINE_SECONDS * 2 ** (count - MIN_CRASHES_QUARANTINED)
             record.quarantined_until = deadline_after(min(MAX_QUARANTINE_SECONDS, seconds))
-        logged_verdict, record.logged_verdict = record.logged_verdict, _verdict_at(count)
-        if record.logged_verdict != logged_verdict:
+        previous, record.logged_verdict = record.logged_verdict, _verdict_at(count)
+        if record.logged_verdict != previous:
             self._events.belief(
                 "suspect",
                 asks=f"{request:016x}",
-                old=Verdict(logged_verdict).name.lower(),
+                old=Verdict(previous).name.lower(),
                 new=record.logged_verdict.name.lower(),
                 ends=[f"{number:016x}" for number in record.ends],
                 count=count,
@@ -272,18 +272,20 @@
     def _make_room(self):
         if len(self._records) < MAX_SUSPECTS:
             return
-        light = (r for r, record in self._records.items() if record.max_count < MIN_CRASHES_ALONE)
-        del self._records[next(light, next(iter(self._records)))]
+        unrestricted = (
+            r for r, record in self._records.items() if record.max_count < MIN_CRASHES_ALONE
+        )
+        del self._records[next(unrestricted, next(iter(self._records)))]
 
-    # -- what is told -----------------------------------------------------
+    # -- reports to peers -------------------------------------------------
 
     def suspicion(self, request):
-        """Return the `Suspicion` on a request, or ``None`` if it is no longer kept."""
+        """Return the `Suspicion` on a request, or ``None`` if it has been dropped."""
         record = self._records.get(request)
         return None if record is None else Suspicion(request, tuple(record.ends.values()))
 
     def restricted(self):
-        """Return the suspicions of two ends or more, which a node must know before it sends."""
+        """Return the suspicions with two or more crashes, which restrict how to send."""
         records = self._records.items()
         return [self.suspicion(r) for r, record in records if record.max_count >= MIN_CRASHES_ALONE]
 
@@ -295,12 +297,13 @@
 
 
 def _merge(held, ends):
-    """Return what is known of a request from both sides, the latest `MAX_CRASHES_PER_SUSPECT` ends.
+    """Return the union of `held` and `ends`, limited to the latest crashes.
 
     Notes
     -----
-    Which ends are kept depends on their numbers alone, not on who heard of them
-    first: two nodes would else tell each other for ever what the other has dropped.
+    At most `MAX_CRASHES_PER_SUSPECT` are kept.  Which ones depends on their numbers
+    alone, not on the order of arrival.  Otherwise two nodes would forever send each
+    other the crashes that the other has dropped.
     """
     union = dict(held)
     for end in ends:
