--- a/caperstack/quarantine/tests/test_crash.py
+++ b/caperstack/quarantine/tests/test_crash.py
@@ -22,17 +22,17 @@
         self.asked = 0
         self.standing = SimpleNamespace(state=ServerState.WARM, instance="i-1", born_ms=0)
         self.watch = CrashDetector(self, self.standing)
-        self.ends = []
-        self.watch.listen(self.ends.append)
+        self.crashes = []
+        self.watch.listen(self.crashes.append)
 
     async def listens(self, _deadline):
         self.asked += 1
         return self.listening
 
-    def at_work(self):
-        return [sorted(work.number for work in end.pending_calls.values()) for end in self.ends]
+    def crashed_calls(self):
+        return [sorted(work.number for work in end.pending_calls.values()) for end in self.crashes]
 
-    async def test_server_that_refuses_connections_has_ended_with_all_its_work(self):
+    async def test_refused_connection_is_a_crash_with_all_running_calls(self):
         # All connections of a server break in one millisecond.  The first loss
         # asks, the others learn the same; no call is counted at a second end.
         first, second = call(1), call(2)
@@ -40,24 +40,24 @@
         self.watch.begin(second)
         end = await self.watch.lost(first)
         self.assertEqual((await self.watch.lost(second)).number, end.number)
-        self.assertEqual((self.at_work(), self.asked), ([[1, 2]], 1))
+        self.assertEqual((self.crashed_calls(), self.asked), ([[1, 2]], 1))
 
-    async def test_server_that_listens_still_has_lost_an_answer_only(self):
+    async def test_lost_answer_of_a_listening_server_is_no_crash(self):
         self.listening = True
         lost = call(1)
         self.watch.begin(lost)
         self.assertIsNone(await self.watch.lost(lost))
-        self.assertEqual(self.ends, [])
+        self.assertEqual(self.crashes, [])
 
-    async def test_answered_calls_were_not_at_work(self):
+    async def test_answered_calls_were_not_running(self):
         answered, lost = call(1), call(2)
         for one in (answered, lost):
             self.watch.begin(one)
         self.watch.finish(answered, BackendResult.ANSWERED)
         await self.watch.lost(lost)
-        self.assertEqual(self.at_work(), [[2]])
+        self.assertEqual(self.crashed_calls(), [[2]])
 
-    async def test_call_that_was_cancelled_may_be_at_work_until_its_deadline(self):
+    async def test_cancelled_call_may_be_running_until_its_deadline(self):
         # A caller leaves; its call is cancelled here, the server works on and ends
         # of it a moment later.  A call whose deadline has passed does not work on.
         cancelled, over, lost = call(1), call(2, seconds=-1.0), call(3)
@@ -66,22 +66,22 @@
         self.watch.finish(cancelled, BackendResult.UNANSWERED)
         self.watch.finish(over, BackendResult.UNANSWERED)
         await self.watch.lost(lost)
-        self.assertEqual(self.at_work(), [[1, 3]])
+        self.assertEqual(self.crashed_calls(), [[1, 3]])
 
-    async def test_server_that_leaves_ends_in_peace(self):
+    async def test_exit_of_a_leaving_server_is_no_crash(self):
         self.standing.state = ServerState.LEAVING
         lost = call(1)
         self.watch.begin(lost)
         self.assertIsNone(await self.watch.lost(lost))
 
-    async def test_server_that_went_dark_has_ended_when_another_start_is_listed(self):
+    async def test_hung_server_has_crashed_when_its_restart_is_listed(self):
         # A host loses its server without a word: nothing breaks the connections
         # and nothing refuses.  The next start shows that the calls died with it.
         self.watch.begin(call(1))
         self.watch.on_server_restart()
-        self.assertEqual(self.at_work(), [[1]])
+        self.assertEqual(self.crashed_calls(), [[1]])
 
-    async def test_calls_that_were_given_up_on_a_dark_server_bear_its_end(self):
+    async def test_calls_that_timed_out_at_a_hung_server_are_blamed_for_its_crash(self):
         # A server goes silent of a call; the call is given up at its deadline, and
         # so are many that were sent after it, until another start is listed.  The
         # first ones that were out when it last answered are to blame.
@@ -95,10 +95,10 @@
             self.watch.begin(later)
             self.watch.finish(later, BackendResult.UNANSWERED)
         self.watch.on_server_restart()
-        self.assertEqual(self.at_work()[0][0], 1)
-        self.assertLessEqual(len(self.at_work()[0]), 2 * MAX_UNANSWERED)
+        self.assertEqual(self.crashed_calls()[0][0], 1)
+        self.assertLessEqual(len(self.crashed_calls()[0]), 2 * MAX_UNANSWERED)
 
-    async def test_refused_connection_is_no_sign_of_life(self):
+    async def test_call_that_never_ran_is_no_response_of_the_server(self):
         # The silent server is asked on: calls that get no connection, or are turned
         # away by another server at its address, say nothing of it.
         culprit = call(1, seconds=0.01)
@@ -109,9 +109,9 @@
         self.watch.begin(later)
         self.watch.finish(later, BackendResult.NOT_RUN)
         self.watch.on_server_restart()
-        self.assertEqual(self.at_work(), [[1]])
+        self.assertEqual(self.crashed_calls(), [[1]])
 
-    async def test_calls_that_were_over_when_the_server_answered_are_not_blamed(self):
+    async def test_calls_past_their_deadline_at_a_response_are_not_blamed(self):
         over = call(1, seconds=0.01)
         self.watch.begin(over)
         self.watch.finish(over, BackendResult.UNANSWERED)
@@ -120,9 +120,9 @@
         lost = call(2)
         self.watch.begin(lost)
         await self.watch.lost(lost)
-        self.assertEqual(self.at_work(), [[2]])
+        self.assertEqual(self.crashed_calls(), [[2]])
 
-    async def test_server_ends_once(self):
+    async def test_crash_is_counted_once(self):
         # A server has ended; calls that still go to its address are under way when
         # the next start is listed there, or are lost there.
         first, second = call(1), call(2)
@@ -131,19 +131,19 @@
         self.watch.begin(second)
         self.assertIsNone(await self.watch.lost(second))
         self.watch.on_server_restart()
-        self.assertEqual(self.at_work(), [[1]])
+        self.assertEqual(self.crashed_calls(), [[1]])
         third = call(3)
         self.watch.begin(third)
         await self.watch.lost(third)
-        self.assertEqual(self.at_work(), [[1], [3]])
+        self.assertEqual(self.crashed_calls(), [[1], [3]])
 
-    async def test_server_that_answers_again_may_end_again(self):
+    async def test_server_that_answers_again_may_crash_again(self):
         for number in (1, 2):
             lost = call(number)
             self.watch.begin(lost)
             await self.watch.lost(lost)
             self.watch.record_response()
-        self.assertEqual(self.at_work(), [[1], [2]])
+        self.assertEqual(self.crashed_calls(), [[1], [2]])
 
     async def test_bodies_of_calls_are_not_kept(self):
         # A megabyte for each of 72 calls would be kept for as long as the server is
--- a/caperstack/quarantine/tests/test_suspects.py
+++ b/caperstack/quarantine/tests/test_suspects.py
@@ -27,9 +27,9 @@
 
 FATAL = Fingerprint(1, 1)
 OTHER_CALLER = Fingerprint(1, 2)
-BYSTANDER = Fingerprint(2, 1)
+UNRELATED = Fingerprint(2, 1)
 
-ENDS = st.builds(Crash, st.integers(1, 30), st.integers(1, 3), st.sampled_from(Clearing))
+CRASHES = st.builds(Crash, st.integers(1, 30), st.integers(1, 3), st.sampled_from(Clearing))
 
 
 class _VirtualClockTestCase(unittest.TestCase):
@@ -52,51 +52,51 @@
 class TestVerdict(_VirtualClockTestCase):
     """How a request may be sent, after so many ends."""
 
-    def test_third_end_quarantines_the_one_that_was_at_work_at_all(self):
+    def test_third_crash_quarantines_only_the_request_present_at_all_three(self):
         # Three servers end one after the other.  The culprit was at work at each,
         # a bystander that was repeated beside it at two: it runs alone, not never.
-        self.end(11, FATAL, BYSTANDER)
+        self.end(11, FATAL, UNRELATED)
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.FREE)
-        self.end(12, FATAL, BYSTANDER)
+        self.end(12, FATAL, UNRELATED)
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.ALONE)
         self.end(13, FATAL)
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.QUARANTINED)
-        self.assertEqual(self.suspects.verdict(BYSTANDER), Verdict.ALONE)
+        self.assertEqual(self.suspects.verdict(UNRELATED), Verdict.ALONE)
 
-    def test_one_end_that_is_told_twice_counts_once(self):
+    def test_crash_reported_twice_counts_once(self):
         for _ in range(5):
             self.end(11, FATAL)
         self.assertEqual(self.suspects.count(FATAL), 1)
 
-    def test_popular_call_whose_servers_died_of_another_cause_stays_free(self):
+    def test_frequent_request_that_completes_between_unrelated_crashes_stays_free(self):
         # A popular listing is at work at every server.  They die one after the
         # other of something else, and it runs whole elsewhere in between.
         for number in range(20):
-            self.end(number, BYSTANDER)
-            self.suspects.record_completion(BYSTANDER)
-            self.assertEqual(self.suspects.verdict(BYSTANDER), Verdict.FREE)
+            self.end(number, UNRELATED)
+            self.suspects.record_completion(UNRELATED)
+            self.assertEqual(self.suspects.verdict(UNRELATED), Verdict.FREE)
 
-    def test_popular_call_is_not_blamed_where_it_ran_whole_just_before(self):
+    def test_frequent_request_that_completed_just_before_is_not_blamed(self):
         # Three servers lose power in the same moment: no run ends in between, and
         # the listing was at work at all three.
-        self.suspects.record_completion(BYSTANDER)
+        self.suspects.record_completion(UNRELATED)
         for number in range(3):
-            self.end(number, BYSTANDER, FATAL)
-        self.assertEqual(self.suspects.count(BYSTANDER), 0)
+            self.end(number, UNRELATED, FATAL)
+        self.assertEqual(self.suspects.count(UNRELATED), 0)
         self.time += COMPLETION_VALID_SECONDS + 1.0
-        self.end(4, BYSTANDER)
-        self.assertEqual(self.suspects.count(BYSTANDER), 1)
+        self.end(4, UNRELATED)
+        self.assertEqual(self.suspects.count(UNRELATED), 1)
 
-    def test_popular_call_that_was_blamed_all_the_same_is_cleared_by_a_run_under_way(self):
+    def test_quarantined_frequent_request_is_cleared_by_a_run_in_progress(self):
         # The same at nodes that had just started; the run at the fourth server
         # began before and ends whole.
         for number in range(3):
-            self.end(number, BYSTANDER)
-        self.assertEqual(self.suspects.verdict(BYSTANDER), Verdict.QUARANTINED)
-        self.suspects.record_completion(BYSTANDER)
-        self.assertEqual(self.suspects.verdict(BYSTANDER), Verdict.FREE)
+            self.end(number, UNRELATED)
+        self.assertEqual(self.suspects.verdict(UNRELATED), Verdict.QUARANTINED)
+        self.suspects.record_completion(UNRELATED)
+        self.assertEqual(self.suspects.verdict(UNRELATED), Verdict.FREE)
 
-    def test_request_that_is_fatal_for_one_caller_is_kept_from_that_caller_only(self):
+    def test_request_that_is_fatal_for_one_caller_is_quarantined_for_that_caller_only(self):
         for number in range(3):
             self.end(number, FATAL)
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.QUARANTINED)
@@ -104,7 +104,7 @@
         self.suspects.record_completion(OTHER_CALLER)
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.QUARANTINED)
 
-    def test_request_that_was_fatal_for_two_callers_is_kept_from_all(self):
+    def test_request_that_was_fatal_for_two_callers_is_quarantined_for_all(self):
         # It comes at machines of every service: a few ends for each of them would
         # be as many again.
         for number in range(3):
@@ -113,7 +113,7 @@
         for caller in (1, 2, 3):
             self.assertEqual(self.suspects.verdict(Fingerprint(1, caller)), Verdict.QUARANTINED)
 
-    def test_quarantine_ends_in_one_trial_and_lasts_longer_after_it_failed(self):
+    def test_quarantine_ends_with_a_trial_and_is_longer_after_a_failed_one(self):
         for number in range(3):
             self.end(number, FATAL)
         self.time += QUARANTINE_SECONDS + 1.0
@@ -126,14 +126,14 @@
         self.suspects.record_completion(FATAL)
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.FREE)
 
-    def test_refusal_tells_when_a_trial_is_due(self):
+    def test_retry_after_is_the_time_until_the_next_trial(self):
         for number in range(3):
             self.end(number, FATAL)
         call = Call(1, "n", "r", "s", "GET", "/", [], b"", self.time + 5, True, fingerprint=FATAL)
         self.time += 100.0
         self.assertAlmostEqual(self.suspects.refusal(call).retry_after, QUARANTINE_SECONDS - 100.0)
 
-    def test_suspect_of_long_ago_is_forgotten(self):
+    def test_old_suspect_is_dropped(self):
         for number in range(2):
             self.end(number, FATAL)
         self.time += SUSPECT_TTL_SECONDS + 1.0
@@ -149,8 +149,10 @@
 class TestExchangeOfSuspicions(_VirtualClockTestCase):
     """What nodes tell each other adds up to one view, whatever its order."""
 
-    @given(st.lists(st.lists(ENDS, min_size=1, max_size=4), min_size=1, max_size=4), st.randoms())
-    def test_order_and_repetition_of_news_do_not_matter(self, told, rng):
+    @given(
+        st.lists(st.lists(CRASHES, min_size=1, max_size=4), min_size=1, max_size=4), st.randoms()
+    )
+    def test_order_and_repetition_of_reports_do_not_matter(self, told, rng):
         views = []
         for _ in range(3):
             suspects = self.new()
@@ -161,7 +163,7 @@
             views.append([(e.number, e.clearing) for e in suspects.suspicion(1).ends])
         self.assertEqual(views, views[:1] * 3)
 
-    def test_two_nodes_that_dropped_different_ends_stop_telling_each_other(self):
+    def test_two_nodes_that_dropped_different_crashes_stop_exchanging_them(self):
         one, two = self.new(), self.new()
         for number in range(2 * MAX_CRASHES_PER_SUSPECT):
             (one if number % 2 else two).take(Suspicion(1, (Crash(number, 1),)))
@@ -172,12 +174,12 @@
             self.assertLess(count, 5)
         self.assertEqual(one.suspicion(1), two.suspicion(1))
 
-    def test_clearing_that_overtakes_its_end_still_clears(self):
+    def test_clearing_that_overtakes_its_crash_still_clears(self):
         self.suspects.take(Suspicion(1, (Crash(5, 1, Clearing.ALL),)))
         self.suspects.take(Suspicion(1, (Crash(5, 1),)))
         self.assertEqual(self.suspects.count(FATAL), 0)
 
-    def test_only_news_is_told(self):
+    def test_listener_is_called_for_new_information_only(self):
         told = []
         self.suspects.listen(lambda request, source: told.append((request, source)))
         for source in ("a", "b"):
@@ -185,17 +187,17 @@
         self.suspects.take(Suspicion(1, ()), "c")
         self.assertEqual(told, [(1, "a")])
 
-    def test_starting_node_is_told_of_grave_suspects(self):
+    def test_only_suspects_of_several_crashes_are_restricted(self):
         for number in range(2):
             self.end(number, FATAL)
-        self.end(3, BYSTANDER)
+        self.end(3, UNRELATED)
         self.assertEqual([one.request for one in self.suspects.restricted()], [FATAL.request])
 
 
 class TestBounds(_VirtualClockTestCase):
     """Memory stays bounded, and what matters stays in it."""
 
-    def test_many_suspects_push_out_light_ones(self):
+    def test_unrestricted_suspects_are_evicted_first(self):
         # Servers crash by the hundred, and each takes a dozen calls along.
         for number in range(3):
             self.end(number, FATAL)
--- a/caperstack/routing/tests/test_dispatch.py
+++ b/caperstack/routing/tests/test_dispatch.py
@@ -16,8 +16,8 @@
 from caperstack.routing.dispatch import Dispatcher
 from caperstack.routing.table import EffectiveService
 
-GOOD = Answered(200, "OK", [], b"whole")
-BAD = Answered(500, "Error", [], b"")
+OK_ANSWER = Answered(200, "OK", [], b"whole")
+ERROR_ANSWER = Answered(500, "Error", [], b"")
 
 
 class FakeOwner:
@@ -102,44 +102,44 @@
     await asyncio.sleep(3600)
 
 
-class TestBooking(unittest.TestCase):
+class TestNonIdempotentCall(unittest.TestCase):
     """Non-idempotent calls move on proof alone."""
 
-    def test_refusal_moves_it(self):
-        first, second = FakeOwner(NotRun("full")), FakeOwner(GOOD)
-        self.assertEqual(DispatcherFixture(first, second).dispatch(), GOOD)
+    def test_refused_call_is_sent_to_another_owner(self):
+        first, second = FakeOwner(NotRun("full")), FakeOwner(OK_ANSWER)
+        self.assertEqual(DispatcherFixture(first, second).dispatch(), OK_ANSWER)
         self.assertEqual((len(first.calls), len(second.calls)), (1, 1))
 
-    def test_unknown_ends_it(self):
-        first, second = FakeOwner(Unknown("backend server died")), FakeOwner(GOOD)
+    def test_call_with_unknown_outcome_is_not_retried(self):
+        first, second = FakeOwner(Unknown("backend server died")), FakeOwner(OK_ANSWER)
         self.assertIsInstance(DispatcherFixture(first, second).dispatch(), Unknown)
         self.assertEqual(second.calls, [])
 
-    def test_server_error_is_its_answer(self):
-        first, second = FakeOwner(BAD), FakeOwner(GOOD)
-        self.assertEqual(DispatcherFixture(first, second).dispatch(), BAD)
+    def test_server_error_is_returned_without_a_retry(self):
+        first, second = FakeOwner(ERROR_ANSWER), FakeOwner(OK_ANSWER)
+        self.assertEqual(DispatcherFixture(first, second).dispatch(), ERROR_ANSWER)
         self.assertEqual(second.calls, [])
 
-    def test_unsent_moves_it(self):
-        first, second = FakeOwner(lost(sent=False)), FakeOwner(GOOD)
-        self.assertEqual(DispatcherFixture(first, second).dispatch(), GOOD)
+    def test_unsent_call_is_sent_to_another_owner(self):
+        first, second = FakeOwner(lost(sent=False)), FakeOwner(OK_ANSWER)
+        self.assertEqual(DispatcherFixture(first, second).dispatch(), OK_ANSWER)
 
-    def test_lost_connection_is_resolved(self):
+    def test_lost_connection_is_resolved_before_a_retry(self):
         # The connection to the owner breaks with a sweep in flight.  Revoked
         # before dispatch it goes elsewhere; run, its answer is the answer;
         # unknown, it ends there.
         for resolved, outcome, moved in (
-            (NotRun("revoked"), GOOD, 1),
+            (NotRun("revoked"), OK_ANSWER, 1),
             (Answered(201, "", [], b""), Answered(201, "", [], b""), 0),
             (Unknown("owner is gone"), Unknown("owner is gone"), 0),
         ):
-            first, second = FakeOwner(lost(), resolved=resolved), FakeOwner(GOOD)
+            first, second = FakeOwner(lost(), resolved=resolved), FakeOwner(OK_ANSWER)
             self.assertEqual(DispatcherFixture(first, second).dispatch(), outcome)
             self.assertEqual(len(second.calls), moved)
 
-    def test_when_all_refuse_it_waits_at_the_best(self):
-        owners = [FakeOwner(NotRun("full"), GOOD), FakeOwner(NotRun("full"))]
-        self.assertEqual(DispatcherFixture(*owners).dispatch(), GOOD)
+    def test_call_refused_by_all_queues_at_the_best_member(self):
+        owners = [FakeOwner(NotRun("full"), OK_ANSWER), FakeOwner(NotRun("full"))]
+        self.assertEqual(DispatcherFixture(*owners).dispatch(), OK_ANSWER)
         self.assertTrue(owners[0].calls[-1].last)
         self.assertFalse(owners[0].calls[0].last)
 
@@ -149,62 +149,62 @@
         self.assertEqual(sum(len(owner.calls) for owner in owners), 3)
 
 
-class TestListing(unittest.TestCase):
+class TestIdempotentCall(unittest.TestCase):
     """Idempotent calls are repeated from a budget."""
 
-    def test_unknown_then_refusal_is_not_told_as_not_run(self):
+    def test_unknown_then_refusal_is_not_reported_as_not_run(self):
         # One attempt got lost and may have run, the next is refused.  "Not
         # run" would be false.
         owners = [FakeOwner(Unknown("lost")), FakeOwner(NotRun("full"))]
         self.assertIsInstance(DispatcherFixture(*owners, hedge_share=0.0).dispatch(True), Unknown)
 
-    def test_budget_bounds_repeats(self):
-        world = DispatcherFixture(
+    def test_budget_limits_retries(self):
+        fixture = DispatcherFixture(
             FakeOwner(Unknown("lost")), FakeOwner(Unknown("lost")), hedge_share=0.0
         )
         for _ in range(100):
-            world.dispatch(True)
-        self.assertLessEqual(world.counts["retries"], 2 + 100 * 0.1)
+            fixture.dispatch(True)
+        self.assertLessEqual(fixture.counts["retries"], 2 + 100 * 0.1)
 
-    def test_hedge_answers_and_the_loser_is_cancelled(self):
-        slow, quick = FakeOwner(hangs), FakeOwner(GOOD)
-        self.assertEqual(DispatcherFixture(slow, quick, hedge_share=0.5).dispatch(True), GOOD)
+    def test_first_attempt_is_cancelled_when_the_hedge_answers(self):
+        slow, quick = FakeOwner(hangs), FakeOwner(OK_ANSWER)
+        self.assertEqual(DispatcherFixture(slow, quick, hedge_share=0.5).dispatch(True), OK_ANSWER)
         self.assertEqual(slow.cancelled, 1)
 
-    def test_hedge_that_fails_leaves_the_first(self):
+    def test_refused_hedge_does_not_end_the_first_attempt(self):
         async def late():
             await asyncio.sleep(0.3)
-            return GOOD
+            return OK_ANSWER
 
-        world = DispatcherFixture(FakeOwner(late), FakeOwner(NotRun("full")), hedge_share=0.5)
-        self.assertEqual(world.dispatch(True), GOOD)
+        fixture = DispatcherFixture(FakeOwner(late), FakeOwner(NotRun("full")), hedge_share=0.5)
+        self.assertEqual(fixture.dispatch(True), OK_ANSWER)
 
 
-class TestChoice(unittest.TestCase):
+class TestMemberChoice(unittest.TestCase):
     """Which members are considered."""
 
-    def test_leaving_member_gets_nothing(self):
-        first, second = FakeOwner(GOOD), FakeOwner(GOOD)
-        world = DispatcherFixture(first, second)
-        world.members[0].leaving_incarnation = 1
-        world.dispatch()
+    def test_leaving_member_gets_no_calls(self):
+        first, second = FakeOwner(OK_ANSWER), FakeOwner(OK_ANSWER)
+        fixture = DispatcherFixture(first, second)
+        fixture.members[0].leaving_incarnation = 1
+        fixture.dispatch()
         self.assertEqual(first.calls, [])
 
-    def test_self_doubt_when_most_seem_dead(self):
+    def test_members_are_tried_when_all_seem_down(self):
         # A node was cut off for a moment and holds everyone for dead.  It
         # must try them rather than turn its own fault into an outage.
-        owners = [FakeOwner(GOOD) for _ in range(3)]
-        world = DispatcherFixture(*owners)
-        for member in world.members:
+        owners = [FakeOwner(OK_ANSWER) for _ in range(3)]
+        fixture = DispatcherFixture(*owners)
+        for member in fixture.members:
             member.estimate.mark_down()
             member.owner.usable = False
-        self.assertEqual(world.dispatch(), GOOD)
+        self.assertEqual(fixture.dispatch(), OK_ANSWER)
 
     def test_down_member_is_avoided(self):
-        first, second = FakeOwner(GOOD), FakeOwner(GOOD)
-        world = DispatcherFixture(first, second)
-        world.members[0].estimate.update_load(Load(state=ServerState.DOWN))
-        world.dispatch()
+        first, second = FakeOwner(OK_ANSWER), FakeOwner(OK_ANSWER)
+        fixture = DispatcherFixture(first, second)
+        fixture.members[0].estimate.update_load(Load(state=ServerState.DOWN))
+        fixture.dispatch()
         self.assertEqual(first.calls, [])
 
 
@@ -217,7 +217,7 @@
             product *= 1 + share_at_depth(0.045, depth)
         self.assertLess(product, 1.1)
 
-    def test_quiet_budget_is_bounded(self):
+    def test_saved_up_tokens_are_bounded(self):
         budget = CallBudget()
         for _ in range(10_000):
             budget.deposit(1.0)
@@ -234,70 +234,72 @@
 
     FATAL = Fingerprint(5, 1)
 
-    def world(self, *owners, ends=0, **settings):
-        world = DispatcherFixture(*owners, **settings)
-        self.suspects = world.dispatcher._suspects
+    def fixture(self, *owners, ends=0, **settings):
+        fixture = DispatcherFixture(*owners, **settings)
+        self.suspects = fixture.dispatcher._suspects
         self.suspects._events = mock.Mock()
         self.suspects.record_crash(1, [Fingerprint(6, 1)])
         for number in range(ends):
             self.suspects.record_crash(10 + number, [self.FATAL])
-        return world
+        return fixture
 
-    def send(self, world, fingerprint=FATAL, attempts=3):
+    def send(self, fixture, fingerprint=FATAL, attempts=3):
         call = Call(0, "me", "r", "s", "GET", "/", [], b"", deadline_after(5), True)
         call.fingerprint = fingerprint
         call.attempts = attempts
-        return asyncio.run(world.dispatcher.dispatch(call))
+        return asyncio.run(fixture.dispatcher.dispatch(call))
 
-    def test_quarantined_request_is_not_sent_and_told_as_not_run(self):
-        owner = FakeOwner(GOOD)
-        outcome = self.send(self.world(owner, ends=3))
+    def test_quarantined_request_is_not_sent_and_reported_as_not_run(self):
+        owner = FakeOwner(OK_ANSWER)
+        outcome = self.send(self.fixture(owner, ends=3))
         self.assertIsInstance(outcome, NotRun)
         self.assertEqual((outcome.status, owner.calls), (503, []))
         self.assertGreater(outcome.retry_after, 100.0)
 
-    def test_others_are_sent_as_ever(self):
-        self.assertEqual(self.send(self.world(FakeOwner(GOOD), ends=3), Fingerprint(6, 1)), GOOD)
+    def test_other_requests_are_sent_as_usual(self):
+        self.assertEqual(
+            self.send(self.fixture(FakeOwner(OK_ANSWER), ends=3), Fingerprint(6, 1)), OK_ANSWER
+        )
 
-    def test_call_that_has_ended_two_servers_is_not_taken_to_a_third(self):
+    def test_call_that_crashed_two_servers_is_not_sent_to_a_third(self):
         ended = [Unknown("connection closed", end=20 + n) for n in range(3)]
         owners = [FakeOwner(outcome) for outcome in ended]
         for hedge_share in (0.0, 0.5):
-            world = self.world(*owners, hedge_share=hedge_share)
-            outcome = self.send(world)
+            fixture = self.fixture(*owners, hedge_share=hedge_share)
+            outcome = self.send(fixture)
             self.assertIsInstance(outcome, Unknown)
         self.assertEqual([len(owner.calls) for owner in owners][2], 0)
 
-    def test_call_that_lost_one_server_is_repeated(self):
-        first, second = FakeOwner(Unknown("connection closed", end=20)), FakeOwner(GOOD)
-        self.assertEqual(self.send(self.world(first, second)), GOOD)
+    def test_call_lost_in_one_crash_is_retried(self):
+        first, second = FakeOwner(Unknown("connection closed", end=20)), FakeOwner(OK_ANSWER)
+        self.assertEqual(self.send(self.fixture(first, second)), OK_ANSWER)
 
     def test_suspect_is_not_hedged(self):
         async def hangs():
             await asyncio.sleep(0.3)
-            return GOOD
+            return OK_ANSWER
 
-        slow, quick = FakeOwner(hangs), FakeOwner(GOOD)
-        self.send(self.world(slow, quick, ends=1, hedge_share=0.5))
+        slow, quick = FakeOwner(hangs), FakeOwner(OK_ANSWER)
+        self.send(self.fixture(slow, quick, ends=1, hedge_share=0.5))
         self.assertEqual(len(quick.calls), 0)
 
-    def test_all_entries_send_a_grave_suspect_to_one_server(self):
+    def test_all_entries_send_an_isolated_suspect_to_one_server(self):
         # It comes at every entry at once; each would send it to another server.
         used = set()
         for seed in range(8):
-            owners = [FakeOwner(GOOD) for _ in range(4)]
-            world = self.world(*owners, ends=2)
-            world.dispatcher.candidates._rng.seed(seed)
-            self.send(world)
+            owners = [FakeOwner(OK_ANSWER) for _ in range(4)]
+            fixture = self.fixture(*owners, ends=2)
+            fixture.dispatcher.candidates._rng.seed(seed)
+            self.send(fixture)
             used.update(n for n, owner in enumerate(owners) if owner.calls)
         self.assertEqual(len(used), 1)
 
-    def test_refusal_of_a_grave_suspect_is_not_taken_elsewhere(self):
+    def test_refused_isolated_suspect_is_not_sent_elsewhere(self):
         owners = [FakeOwner(NotRun("another suspect is at work")) for _ in range(4)]
-        self.assertIsInstance(self.send(self.world(*owners, ends=2)), NotRun)
+        self.assertIsInstance(self.send(self.fixture(*owners, ends=2)), NotRun)
         self.assertEqual(sum(len(owner.calls) for owner in owners), 1)
 
-    def test_call_that_ran_and_is_quarantined_meanwhile_is_not_told_as_not_run(self):
+    def test_call_that_ran_and_is_quarantined_meanwhile_is_not_reported_as_not_run(self):
         def quarantine(_call):
             for number in range(3):
                 self.suspects.record_crash(30 + number, [self.FATAL])
@@ -310,29 +312,29 @@
             return await run(call)
 
         owner.run = run_and_quarantine
-        self.assertIsInstance(self.send(self.world(owner, FakeOwner(GOOD))), Unknown)
+        self.assertIsInstance(self.send(self.fixture(owner, FakeOwner(OK_ANSWER))), Unknown)
 
 
-class TestLastResort(unittest.TestCase):
+class TestFinalQueueing(unittest.TestCase):
     """Calls that wait at the best server since none is free."""
 
-    def test_lost_there_is_repeated_elsewhere(self):
+    def test_idempotent_call_lost_at_the_queueing_member_is_retried(self):
         """No server was free, the one that took it loses the answer, and no other is asked."""
-        first, second = FakeOwner(Unknown("connection closed")), FakeOwner(GOOD)
-        world = DispatcherFixture(first, second, refusals_per_call=0)
-        self.assertEqual(world.dispatch(idempotent=True), GOOD)
+        first, second = FakeOwner(Unknown("connection closed")), FakeOwner(OK_ANSWER)
+        fixture = DispatcherFixture(first, second, refusals_per_call=0)
+        self.assertEqual(fixture.dispatch(idempotent=True), OK_ANSWER)
         self.assertEqual((len(first.calls), len(second.calls)), (1, 1))
 
-    def test_booking_that_is_lost_there_is_not_repeated(self):
-        first, second = FakeOwner(Unknown("connection closed")), FakeOwner(GOOD)
-        world = DispatcherFixture(first, second, refusals_per_call=0)
-        self.assertIsInstance(world.dispatch(), Unknown)
+    def test_non_idempotent_call_lost_at_the_queueing_member_is_not_retried(self):
+        first, second = FakeOwner(Unknown("connection closed")), FakeOwner(OK_ANSWER)
+        fixture = DispatcherFixture(first, second, refusals_per_call=0)
+        self.assertIsInstance(fixture.dispatch(), Unknown)
         self.assertEqual(second.calls, [])
 
-    def test_refusal_there_is_final(self):
-        first, second = FakeOwner(NotRun("no slot in time")), FakeOwner(GOOD)
-        world = DispatcherFixture(first, second, refusals_per_call=0)
-        self.assertIsInstance(world.dispatch(idempotent=True), NotRun)
+    def test_refusal_by_the_queueing_member_is_final(self):
+        first, second = FakeOwner(NotRun("no slot in time")), FakeOwner(OK_ANSWER)
+        fixture = DispatcherFixture(first, second, refusals_per_call=0)
+        self.assertIsInstance(fixture.dispatch(idempotent=True), NotRun)
         self.assertEqual(second.calls, [])
 
 
@@ -341,42 +343,42 @@
 
     def test_no_call_goes_to_an_evacuated_zone(self):
         """A zone is evacuated and its quick servers go on getting calls."""
-        quick, slow = FakeOwner(GOOD), FakeOwner(GOOD)
-        world = DispatcherFixture(quick, slow, zones="ab")
-        world.known.evacuated = frozenset("a")
+        quick, slow = FakeOwner(OK_ANSWER), FakeOwner(OK_ANSWER)
+        fixture = DispatcherFixture(quick, slow, zones="ab")
+        fixture.known.evacuated = frozenset("a")
         for _ in range(20):
-            self.assertEqual(world.dispatch(), GOOD)
+            self.assertEqual(fixture.dispatch(), OK_ANSWER)
         self.assertEqual((len(quick.calls), len(slow.calls)), (0, 20))
 
-    def test_zone_that_is_back_gets_calls(self):
+    def test_zone_gets_calls_after_its_evacuation_ends(self):
         """A zone is taken back and its servers stay idle."""
-        quick, slow = FakeOwner(GOOD), FakeOwner(GOOD)
-        world = DispatcherFixture(quick, slow, zones="ab")
-        world.known.evacuated = frozenset("a")
-        world.dispatch()
-        world.known.evacuated = frozenset()
-        world.dispatch()
+        quick, slow = FakeOwner(OK_ANSWER), FakeOwner(OK_ANSWER)
+        fixture = DispatcherFixture(quick, slow, zones="ab")
+        fixture.known.evacuated = frozenset("a")
+        fixture.dispatch()
+        fixture.known.evacuated = frozenset()
+        fixture.dispatch()
         self.assertEqual(len(quick.calls), 1)
 
-    def test_all_zones_evacuated_is_told_at_once_with_a_time_to_return(self):
+    def test_call_is_refused_with_retry_after_when_all_zones_are_evacuated(self):
         """Nothing may run, and the caller waits for its deadline or hears no reason."""
-        owner = FakeOwner(GOOD)
-        world = DispatcherFixture(owner)
-        world.known.evacuated = frozenset("a")
-        outcome = world.dispatch()
+        owner = FakeOwner(OK_ANSWER)
+        fixture = DispatcherFixture(owner)
+        fixture.known.evacuated = frozenset("a")
+        outcome = fixture.dispatch()
         self.assertEqual(outcome.reason, "every zone of the service is evacuated")
         self.assertGreater(outcome.retry_after, 0.0)
         self.assertEqual(owner.calls, [])
 
-    def test_call_that_waits_in_a_zone_that_is_evacuated_moves(self):
+    def test_call_queued_in_a_zone_moves_when_the_zone_is_evacuated(self):
         """A call waits as a last resort, its zone is evacuated, and its caller is refused."""
-        waits, other = FakeOwner(None), FakeOwner(GOOD)
+        waits, other = FakeOwner(None), FakeOwner(OK_ANSWER)
 
         async def evacuated():
-            world.members[0].estimate.update_load(Load(state=ServerState.EVACUATED))
+            fixture.members[0].estimate.update_load(Load(state=ServerState.EVACUATED))
             return NotRun("zone is evacuated", 0.0)
 
         waits._outcomes = [evacuated]
-        world = DispatcherFixture(waits, other, zones="ab", refusals_per_call=0)
-        self.assertEqual(world.dispatch(), GOOD)
+        fixture = DispatcherFixture(waits, other, zones="ab", refusals_per_call=0)
+        self.assertEqual(fixture.dispatch(), OK_ANSWER)
         self.assertEqual((len(waits.calls), len(other.calls)), (1, 1))
--- a/caperstack/routing/tests/test_estimates.py
+++ b/caperstack/routing/tests/test_estimates.py
@@ -13,7 +13,7 @@
         self.time = 1000.0
         self.enterContext(clock.use_source(lambda: self.time))
 
-    def test_own_failure_fades_like_all_else_that_was_known(self):
+    def test_own_failures_expire(self):
         # A caller's listing is lost at one server and may not be repeated.  The
         # server is well again; the entry leaves it alone for good as long as the
         # others have room, since nothing but calls to it would show that.
--- a/caperstack/routing/tests/test_service.py
+++ b/caperstack/routing/tests/test_service.py
@@ -13,14 +13,14 @@
 class TestSplitter(unittest.TestCase):
     """`Splitter.choose`."""
 
-    def test_weights_are_kept_in_every_short_span(self):
+    def test_weights_hold_over_every_short_sequence(self):
         route = Route("/", (WeightedService("a", 70), WeightedService("b", 30)))
         splitter = Splitter()
         chosen = [splitter.choose(route) for _ in range(200)]
         for start in range(0, 180, 20):
             self.assertAlmostEqual(chosen[start : start + 20].count("b"), 6, delta=1)
 
-    def test_weight_of_zero_gets_nothing(self):
+    def test_service_of_weight_zero_gets_no_calls(self):
         route = Route("/", (WeightedService("a", 1), WeightedService("b", 0)))
         splitter = Splitter()
         self.assertNotIn("b", [splitter.choose(route) for _ in range(50)])
@@ -56,7 +56,7 @@
         allowance.rebalance(budget, 800)
         self.assertEqual(sum(budget.withdraw() for _ in range(50)), 2)
 
-    def test_time_alone_fills_up_to_the_reserve(self):
+    def test_tokens_added_over_time_stop_at_the_capacity(self):
         clock = 0.0
         with mock.patch("caperstack.routing.budgets.now", lambda: clock):
             budget = CallBudget(reserve=2.0, start=0.0, per_second=0.5)
@@ -79,18 +79,18 @@
         call.objective_at = 100.0 + objective
         return self.state.hedge_delay(call)
 
-    def test_second_attempt_can_just_be_in_time(self):
+    def test_hedge_can_just_meet_the_objective(self):
         self.assertAlmostEqual(self.delay(0.6), 0.6 - 1.15 * 0.2)
 
-    def test_not_before_nine_in_ten_have_ended(self):
+    def test_hedge_waits_until_nine_in_ten_calls_are_answered(self):
         # A course page takes 550 ms and has 1.5 s: a second attempt after 2.5
         # usual times came when the objective was all but over.
         self.assertAlmostEqual(self.delay(0.5), 1.5 * 0.2)
 
-    def test_late_where_no_second_answer_can_be_in_time(self):
+    def test_hedge_is_late_when_no_second_answer_can_meet_the_objective(self):
         self.assertAlmostEqual(self.delay(0.4), 2.5 * 0.2)
 
-    def test_attempts_are_shared_by_hedges_and_repeats(self):
+    def test_attempts_are_shared_by_hedges_and_retries(self):
         attempts = Attempts(2)
         self.assertEqual([attempts.take() for _ in range(3)], [True, True, False])
         attempts.give_back()
