--- a/caperstack/quarantine/tests/test_crash.py
+++ b/caperstack/quarantine/tests/test_crash.py
@@ -1,4 +1,4 @@
-"""What counts as the end of a backend server, and which calls were at work then."""
+"""Tests of crash detection and of the calls that count as running at a crash."""
 
 import asyncio
 import sys
@@ -15,7 +15,7 @@
 
 
 class TestCrashDetector(unittest.IsolatedAsyncioTestCase):
-    """`CrashDetector` beside a server that listens, or does not."""
+    """`CrashDetector` with a server that does or does not listen."""
 
     def setUp(self):
         self.listening = False
@@ -33,8 +33,8 @@
         return [sorted(work.number for work in end.pending_calls.values()) for end in self.crashes]
 
     async def test_refused_connection_is_a_crash_with_all_running_calls(self):
-        # All connections of a server break in one millisecond.  The first loss
-        # asks, the others learn the same; no call is counted at a second end.
+        # All connections of a server break within a millisecond.  The first loss starts
+        # the probe and the others share its result; no call counts for a second crash.
         first, second = call(1), call(2)
         self.watch.begin(first)
         self.watch.begin(second)
@@ -58,13 +58,13 @@
         self.assertEqual(self.crashed_calls(), [[2]])
 
     async def test_cancelled_call_may_be_running_until_its_deadline(self):
-        # A caller leaves; its call is cancelled here, the server works on and ends
-        # of it a moment later.  A call whose deadline has passed does not work on.
-        cancelled, over, lost = call(1), call(2, seconds=-1.0), call(3)
-        for one in (cancelled, over, lost):
+        # A caller disconnects and its call is cancelled, but the server goes on with it
+        # and crashes a moment later.  A call past its deadline is no longer running.
+        cancelled, expired, lost = call(1), call(2, seconds=-1.0), call(3)
+        for one in (cancelled, expired, lost):
             self.watch.begin(one)
         self.watch.finish(cancelled, BackendResult.UNANSWERED)
-        self.watch.finish(over, BackendResult.UNANSWERED)
+        self.watch.finish(expired, BackendResult.UNANSWERED)
         await self.watch.lost(lost)
         self.assertEqual(self.crashed_calls(), [[1, 3]])
 
@@ -75,21 +75,21 @@
         self.assertIsNone(await self.watch.lost(lost))
 
     async def test_hung_server_has_crashed_when_its_restart_is_listed(self):
-        # A host loses its server without a word: nothing breaks the connections
-        # and nothing refuses.  The next start shows that the calls died with it.
+        # A server disappears without closing or refusing connections.  Only its listed
+        # restart shows that its calls were lost in a crash.
         self.watch.begin(call(1))
         self.watch.on_server_restart()
         self.assertEqual(self.crashed_calls(), [[1]])
 
     async def test_calls_that_timed_out_at_a_hung_server_are_blamed_for_its_crash(self):
-        # A server goes silent of a call; the call is given up at its deadline, and
-        # so are many that were sent after it, until another start is listed.  The
-        # first ones that were out when it last answered are to blame.
-        culprit = call(1, seconds=0.02)
+        # A call hangs a server and times out, and so do many calls sent later, until the
+        # restart is listed.  The calls in flight at the last response must be blamed,
+        # not crowded out by the later ones.
+        fatal = call(1, seconds=0.02)
         self.watch.record_response()
-        self.watch.begin(culprit)
+        self.watch.begin(fatal)
         await asyncio.sleep(0.03)
-        self.watch.finish(culprit, BackendResult.UNANSWERED)
+        self.watch.finish(fatal, BackendResult.UNANSWERED)
         for number in range(2, 3 * MAX_UNANSWERED):
             later = call(number, seconds=0.0)
             self.watch.begin(later)
@@ -99,12 +99,12 @@
         self.assertLessEqual(len(self.crashed_calls()[0]), 2 * MAX_UNANSWERED)
 
     async def test_call_that_never_ran_is_no_response_of_the_server(self):
-        # The silent server is asked on: calls that get no connection, or are turned
-        # away by another server at its address, say nothing of it.
-        culprit = call(1, seconds=0.01)
-        self.watch.begin(culprit)
+        # Calls to a hung server that get no connection, or are rejected by another
+        # server at its address, do not show that it is alive.
+        fatal = call(1, seconds=0.01)
+        self.watch.begin(fatal)
         await asyncio.sleep(0.02)
-        self.watch.finish(culprit, BackendResult.UNANSWERED)
+        self.watch.finish(fatal, BackendResult.UNANSWERED)
         later = call(2)
         self.watch.begin(later)
         self.watch.finish(later, BackendResult.NOT_RUN)
@@ -112,9 +112,9 @@
         self.assertEqual(self.crashed_calls(), [[1]])
 
     async def test_calls_past_their_deadline_at_a_response_are_not_blamed(self):
-        over = call(1, seconds=0.01)
-        self.watch.begin(over)
-        self.watch.finish(over, BackendResult.UNANSWERED)
+        expired = call(1, seconds=0.01)
+        self.watch.begin(expired)
+        self.watch.finish(expired, BackendResult.UNANSWERED)
         await asyncio.sleep(0.02)
         self.watch.record_response()
         lost = call(2)
@@ -123,8 +123,8 @@
         self.assertEqual(self.crashed_calls(), [[2]])
 
     async def test_crash_is_counted_once(self):
-        # A server has ended; calls that still go to its address are under way when
-        # the next start is listed there, or are lost there.
+        # Calls that are sent to the address after the crash are in flight when the
+        # restart is listed, or are lost.  They must not make a second crash.
         first, second = call(1), call(2)
         self.watch.begin(first)
         await self.watch.lost(first)
@@ -146,8 +146,8 @@
         self.assertEqual(self.crashed_calls(), [[1], [2]])
 
     async def test_bodies_of_calls_are_not_kept(self):
-        # A megabyte for each of 72 calls would be kept for as long as the server is
-        # silent, beside a node of 20 MB.
+        # A body of 1 MB for each of 72 unanswered calls would be kept while the server
+        # hangs; a node uses only 20 MB.
         body = bytes(1 << 20)
         before = sys.getrefcount(body)
         large = call(1)
--- a/caperstack/quarantine/tests/test_suspects.py
+++ b/caperstack/quarantine/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Verdicts on requests by the ends of servers, without a network."""
+"""Tests of the verdicts on suspect requests, without a network."""
 
 import itertools
 import random
@@ -33,7 +33,7 @@
 
 
 class _VirtualClockTestCase(unittest.TestCase):
-    """A clock that a test moves."""
+    """Test case with a clock that the test advances."""
 
     def setUp(self):
         self.time = 1000.0
@@ -50,11 +50,12 @@
 
 
 class TestVerdict(_VirtualClockTestCase):
-    """How a request may be sent, after so many ends."""
+    """The verdict on a request by its number of crashes."""
 
     def test_third_crash_quarantines_only_the_request_present_at_all_three(self):
-        # Three servers end one after the other.  The culprit was at work at each,
-        # a bystander that was repeated beside it at two: it runs alone, not never.
+        # Three servers crash in turn.  The fatal request was running at each of them, an
+        # unrelated one that was retried next to it at two: it is isolated, but not
+        # quarantined.
         self.end(11, FATAL, UNRELATED)
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.FREE)
         self.end(12, FATAL, UNRELATED)
@@ -69,16 +70,16 @@
         self.assertEqual(self.suspects.count(FATAL), 1)
 
     def test_frequent_request_that_completes_between_unrelated_crashes_stays_free(self):
-        # A popular listing is at work at every server.  They die one after the
-        # other of something else, and it runs whole elsewhere in between.
+        # A frequent request is running at every server.  The servers crash in turn for
+        # another reason, and the request completes elsewhere in between.
         for number in range(20):
             self.end(number, UNRELATED)
             self.suspects.record_completion(UNRELATED)
             self.assertEqual(self.suspects.verdict(UNRELATED), Verdict.FREE)
 
     def test_frequent_request_that_completed_just_before_is_not_blamed(self):
-        # Three servers lose power in the same moment: no run ends in between, and
-        # the listing was at work at all three.
+        # Three servers lose power at the same time.  A frequent request was running at
+        # all three and had no chance to complete in between.
         self.suspects.record_completion(UNRELATED)
         for number in range(3):
             self.end(number, UNRELATED, FATAL)
@@ -88,8 +89,8 @@
         self.assertEqual(self.suspects.count(UNRELATED), 1)
 
     def test_quarantined_frequent_request_is_cleared_by_a_run_in_progress(self):
-        # The same at nodes that had just started; the run at the fourth server
-        # began before and ends whole.
+        # Three servers fail at once, and the nodes have just started and remember no
+        # completed runs.  A run at a fourth server that began before completes.
         for number in range(3):
             self.end(number, UNRELATED)
         self.assertEqual(self.suspects.verdict(UNRELATED), Verdict.QUARANTINED)
@@ -105,8 +106,8 @@
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.QUARANTINED)
 
     def test_request_that_was_fatal_for_two_callers_is_quarantined_for_all(self):
-        # It comes at machines of every service: a few ends for each of them would
-        # be as many again.
+        # Callers on the hosts of every service send it: if crashes counted per caller,
+        # each caller would cause a few more.
         for number in range(3):
             self.end(number, FATAL)
         self.end(4, OTHER_CALLER)
@@ -147,16 +148,16 @@
 
 
 class TestExchangeOfSuspicions(_VirtualClockTestCase):
-    """What nodes tell each other adds up to one view, whatever its order."""
+    """Suspicions exchanged by nodes converge to the same state in any order."""
 
     @given(
         st.lists(st.lists(CRASHES, min_size=1, max_size=4), min_size=1, max_size=4), st.randoms()
     )
-    def test_order_and_repetition_of_reports_do_not_matter(self, told, rng):
+    def test_order_and_repetition_of_reports_do_not_matter(self, reports, rng):
         views = []
         for _ in range(3):
             suspects = self.new()
-            order = [*told, *told]
+            order = [*reports, *reports]
             rng.shuffle(order)
             for ends in order:
                 suspects.take(Suspicion(1, tuple(ends)))
@@ -180,12 +181,12 @@
         self.assertEqual(self.suspects.count(FATAL), 0)
 
     def test_listener_is_called_for_new_information_only(self):
-        told = []
-        self.suspects.listen(lambda request, source: told.append((request, source)))
+        notified = []
+        self.suspects.listen(lambda request, source: notified.append((request, source)))
         for source in ("a", "b"):
             self.suspects.take(Suspicion(1, (Crash(5, 1),)), source)
         self.suspects.take(Suspicion(1, ()), "c")
-        self.assertEqual(told, [(1, "a")])
+        self.assertEqual(notified, [(1, "a")])
 
     def test_only_suspects_of_several_crashes_are_restricted(self):
         for number in range(2):
@@ -195,10 +196,10 @@
 
 
 class TestBounds(_VirtualClockTestCase):
-    """Memory stays bounded, and what matters stays in it."""
+    """Memory is bounded, and the restricted suspects are kept."""
 
     def test_unrestricted_suspects_are_evicted_first(self):
-        # Servers crash by the hundred, and each takes a dozen calls along.
+        # Hundreds of servers crash, each with a dozen running calls.
         for number in range(3):
             self.end(number, FATAL)
         rng = random.Random(1)
--- a/caperstack/routing/tests/test_dispatch.py
+++ b/caperstack/routing/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The dispatcher with owners that are told how calls end."""
+"""Tests of the dispatcher with fake owners whose outcomes are given."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
 
 class FakeOwner:
-    """Ends the n-th call with the n-th outcome; the last one repeats."""
+    """An owner that returns the n-th outcome for the n-th call, and then the last one."""
 
     def __init__(self, *outcomes, resolved=None):
         self._outcomes = list(outcomes)
@@ -51,7 +51,7 @@
 
 
 class DispatcherFixture:
-    """A dispatcher among members whose owners are fakes."""
+    """A dispatcher and members with fake owners."""
 
     def __init__(self, *owners, zones="aaaaaaaa", **settings):
         here = SimpleNamespace(
@@ -79,7 +79,7 @@
             member = self.known.find(f"h{number}")
             member.incarnation = 1
             member.owner = owner
-            # Without chance: the first member is the quickest, the last the slowest.
+            # Deterministic order: the first member is the fastest, the last the slowest.
             member.estimate.update_load(Load(limit=20, service_us=20_000 * 10**number))
         self.members = self.known.of_service("s")
         asyncio.run(self.dispatcher.start(kernel))
@@ -93,17 +93,17 @@
 
 
 def lost(sent=True):
-    """Return the error of a connection that broke."""
+    """Return the error of a broken connection to the owner."""
     return PeerError("connection lost", sent=sent)
 
 
 async def hangs():
-    """An owner that never answers."""
+    """Never answer the call."""
     await asyncio.sleep(3600)
 
 
 class TestNonIdempotentCall(unittest.TestCase):
-    """Non-idempotent calls move on proof alone."""
+    """Non-idempotent calls are sent again only if they provably did not run."""
 
     def test_refused_call_is_sent_to_another_owner(self):
         first, second = FakeOwner(NotRun("full")), FakeOwner(OK_ANSWER)
@@ -125,9 +125,9 @@
         self.assertEqual(DispatcherFixture(first, second).dispatch(), OK_ANSWER)
 
     def test_lost_connection_is_resolved_before_a_retry(self):
-        # The connection to the owner breaks with a sweep in flight.  Revoked
-        # before dispatch it goes elsewhere; run, its answer is the answer;
-        # unknown, it ends there.
+        # The connection to the owner breaks during the call.  If the call was revoked
+        # before it ran, it is sent elsewhere; if it ran, its answer is returned; if
+        # that is unknown, it is not retried.
         for resolved, outcome, moved in (
             (NotRun("revoked"), OK_ANSWER, 1),
             (Answered(201, "", [], b""), Answered(201, "", [], b""), 0),
@@ -150,11 +150,11 @@
 
 
 class TestIdempotentCall(unittest.TestCase):
-    """Idempotent calls are repeated from a budget."""
+    """Idempotent calls are retried within a budget."""
 
     def test_unknown_then_refusal_is_not_reported_as_not_run(self):
-        # One attempt got lost and may have run, the next is refused.  "Not
-        # run" would be false.
+        # One attempt is lost and may have run, the next is refused.  "Not run" would
+        # be wrong.
         owners = [FakeOwner(Unknown("lost")), FakeOwner(NotRun("full"))]
         self.assertIsInstance(DispatcherFixture(*owners, hedge_share=0.0).dispatch(True), Unknown)
 
@@ -181,7 +181,7 @@
 
 
 class TestMemberChoice(unittest.TestCase):
-    """Which members are considered."""
+    """The members that are considered for a call."""
 
     def test_leaving_member_gets_no_calls(self):
         first, second = FakeOwner(OK_ANSWER), FakeOwner(OK_ANSWER)
@@ -191,8 +191,8 @@
         self.assertEqual(first.calls, [])
 
     def test_members_are_tried_when_all_seem_down(self):
-        # A node was cut off for a moment and holds everyone for dead.  It
-        # must try them rather than turn its own fault into an outage.
+        # A node that was disconnected for a moment sees all members as down.  It must
+        # still try them, or its own fault becomes an outage.
         owners = [FakeOwner(OK_ANSWER) for _ in range(3)]
         fixture = DispatcherFixture(*owners)
         for member in fixture.members:
@@ -209,7 +209,7 @@
 
 
 class TestBudget(unittest.TestCase):
-    """Budgets down a tree of calls."""
+    """Budgets over the levels of a call tree."""
 
     def test_seven_levels_add_less_than_a_tenth(self):
         product = 1.0
@@ -226,10 +226,10 @@
 
 
 class TestSuspects(unittest.TestCase):
-    """Requests that were at work when backend servers ended, at each kind of send.
+    """Requests that were running at server crashes, for each kind of attempt.
 
-    Callers lose server after server: a request that ends each of them is sent first,
-    repeated when its server has ended, hedged while it runs, and comes again.
+    A request that crashes every server could spread through a first attempt, a retry
+    after the crash, a hedge while it runs, and a new call of the same request.
     """
 
     FATAL = Fingerprint(5, 1)
@@ -262,8 +262,8 @@
         )
 
     def test_call_that_crashed_two_servers_is_not_sent_to_a_third(self):
-        ended = [Unknown("connection closed", end=20 + n) for n in range(3)]
-        owners = [FakeOwner(outcome) for outcome in ended]
+        outcomes = [Unknown("connection closed", end=20 + n) for n in range(3)]
+        owners = [FakeOwner(outcome) for outcome in outcomes]
         for hedge_share in (0.0, 0.5):
             fixture = self.fixture(*owners, hedge_share=hedge_share)
             outcome = self.send(fixture)
@@ -284,7 +284,7 @@
         self.assertEqual(len(quick.calls), 0)
 
     def test_all_entries_send_an_isolated_suspect_to_one_server(self):
-        # It comes at every entry at once; each would send it to another server.
+        # The request arrives at all entries at once; each could choose another server.
         used = set()
         for seed in range(8):
             owners = [FakeOwner(OK_ANSWER) for _ in range(4)]
@@ -316,10 +316,10 @@
 
 
 class TestFinalQueueing(unittest.TestCase):
-    """Calls that wait at the best server since none is free."""
+    """Calls that queue at the best server because none has a free slot."""
 
     def test_idempotent_call_lost_at_the_queueing_member_is_retried(self):
-        """No server was free, the one that took it loses the answer, and no other is asked."""
+        """No server is free, the queueing server loses the answer, and no other is tried."""
         first, second = FakeOwner(Unknown("connection closed")), FakeOwner(OK_ANSWER)
         fixture = DispatcherFixture(first, second, refusals_per_call=0)
         self.assertEqual(fixture.dispatch(idempotent=True), OK_ANSWER)
@@ -342,7 +342,7 @@
     """Zones that operators have evacuated."""
 
     def test_no_call_goes_to_an_evacuated_zone(self):
-        """A zone is evacuated and its quick servers go on getting calls."""
+        """Fast servers in an evacuated zone still get calls."""
         quick, slow = FakeOwner(OK_ANSWER), FakeOwner(OK_ANSWER)
         fixture = DispatcherFixture(quick, slow, zones="ab")
         fixture.known.evacuated = frozenset("a")
@@ -351,7 +351,7 @@
         self.assertEqual((len(quick.calls), len(slow.calls)), (0, 20))
 
     def test_zone_gets_calls_after_its_evacuation_ends(self):
-        """A zone is taken back and its servers stay idle."""
+        """Servers stay idle after the evacuation of their zone has ended."""
         quick, slow = FakeOwner(OK_ANSWER), FakeOwner(OK_ANSWER)
         fixture = DispatcherFixture(quick, slow, zones="ab")
         fixture.known.evacuated = frozenset("a")
@@ -361,7 +361,7 @@
         self.assertEqual(len(quick.calls), 1)
 
     def test_call_is_refused_with_retry_after_when_all_zones_are_evacuated(self):
-        """Nothing may run, and the caller waits for its deadline or hears no reason."""
+        """The caller waits until its deadline, or is refused without a reason."""
         owner = FakeOwner(OK_ANSWER)
         fixture = DispatcherFixture(owner)
         fixture.known.evacuated = frozenset("a")
@@ -371,7 +371,7 @@
         self.assertEqual(owner.calls, [])
 
     def test_call_queued_in_a_zone_moves_when_the_zone_is_evacuated(self):
-        """A call waits as a last resort, its zone is evacuated, and its caller is refused."""
+        """The zone of a queued call is evacuated, and the caller is refused."""
         waits, other = FakeOwner(None), FakeOwner(OK_ANSWER)
 
         async def evacuated():
--- a/caperstack/routing/tests/test_estimates.py
+++ b/caperstack/routing/tests/test_estimates.py
@@ -1,4 +1,4 @@
-"""What an entry believes of a server as time passes."""
+"""Tests of the decay of an entry's estimate of a server."""
 
 import unittest
 
@@ -7,18 +7,17 @@
 
 
 class TestEstimate(unittest.TestCase):
-    """`Estimate` on a clock that the test moves."""
+    """`Estimate` with a clock that the test advances."""
 
     def setUp(self):
         self.time = 1000.0
         self.enterContext(clock.use_source(lambda: self.time))
 
     def test_own_failures_expire(self):
-        # A caller's listing is lost at one server and may not be repeated.  The
-        # server is well again; the entry leaves it alone for good as long as the
-        # others have room, since nothing but calls to it would show that.
-        # Evidence: 30 s of listings, one at a time, after one loss without a
-        # repeat: the other server got all of them, in ten runs of ten.
+        # A call is lost at one server and is not retried.  Only further calls show that
+        # the server has recovered, so without decay the entry avoids it while others
+        # have capacity.  In ten runs out of ten, with 30 s of sequential calls after
+        # one such loss, the other server got all of them.
         estimate = Estimate()
         estimate.record_result(True)
         self.assertGreater(estimate.failing, 0.0)
--- a/caperstack/routing/tests/test_service.py
+++ b/caperstack/routing/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Splits, allowances, attempts and the moment of a hedge."""
+"""Tests of traffic splits, retry allowances, attempts and hedge delays."""
 
 import unittest
 from unittest import mock
@@ -27,11 +27,11 @@
 
 
 class TestFleetAllowance(unittest.TestCase):
-    """`FleetAllowance`: the parts of all nodes stay below the whole."""
+    """`FleetAllowance`: the parts of all nodes sum to at most the whole."""
 
     def test_all_nodes_together_stay_below_the_floor(self):
-        # Every call of every entry fails for ten seconds and all repeat as
-        # they may; the service must not get more than the allowance.
+        # All calls of all entries fail for ten seconds and are retried as far as the
+        # budgets allow; the retries must not exceed the fleet's allowance.
         allowance = FleetAllowance(0.2, 64, 10.0)
         clock = 0.0
         with mock.patch("caperstack.routing.budgets.now", lambda: clock):
@@ -47,8 +47,8 @@
         self.assertGreater(taken, 0.08 * calls)
 
     def test_part_shrinks_when_more_nodes_are_known(self):
-        # A node starts, knows itself alone and takes a large part; once it
-        # knows the fleet, what it had saved up beyond its part is gone.
+        # A node that has just started knows no other and gets a large part.  Once it
+        # knows the fleet, it must lose the saved-up tokens beyond its part.
         allowance = FleetAllowance(0.2, 6400, 10.0)
         budget = allowance.budget(1)
         for _ in range(1000):
@@ -66,7 +66,7 @@
 
 
 class TestHedgeDelay(unittest.TestCase):
-    """`ServiceState.hedge_delay` with a route that takes 0.2 s."""
+    """`ServiceState.hedge_delay` for a route with a baseline of 0.2 s."""
 
     def setUp(self):
         self.enterContext(mock.patch("caperstack.routing.service.now", lambda: 100.0))
@@ -83,8 +83,8 @@
         self.assertAlmostEqual(self.delay(0.6), 0.6 - 1.15 * 0.2)
 
     def test_hedge_waits_until_nine_in_ten_calls_are_answered(self):
-        # A course page takes 550 ms and has 1.5 s: a second attempt after 2.5
-        # usual times came when the objective was all but over.
+        # With a baseline of 550 ms and an objective of 1.5 s, a hedge after 2.5 baseline
+        # durations is sent when the objective has nearly passed.
         self.assertAlmostEqual(self.delay(0.5), 1.5 * 0.2)
 
     def test_hedge_is_late_when_no_second_answer_can_meet_the_objective(self):
