--- a/caperstack/quarantine/crash.py
+++ b/caperstack/quarantine/crash.py
@@ -122,13 +122,15 @@
         hedge.  The server may go on with it and crash, so an unanswered call is
         kept as a possible cause; otherwise only other calls would be blamed.
         """
-        work = self._running.pop((call.origin, call.id), None)
+        pending_call = self._running.pop((call.origin, call.id), None)
         if left == BackendResult.ANSWERED:
             self.record_response()
         elif (
-            left == BackendResult.UNANSWERED and work and len(self._unanswered) < 2 * MAX_UNANSWERED
+            left == BackendResult.UNANSWERED
+            and pending_call
+            and len(self._unanswered) < 2 * MAX_UNANSWERED
         ):
-            self._unanswered.append(work)
+            self._unanswered.append(pending_call)
 
     def record_response(self):
         """Record a response of the server, which rules out calls past their deadline.
@@ -178,8 +180,8 @@
         self._record_crash()
         self._crash_recorded = False
 
-    def _crash_number(self, work):
-        name = f"{self._standing.instance}@{self._standing.born_ms} {work.origin} {work.number}"
+    def _crash_number(self, pending_call):
+        name = f"{self._standing.instance}@{self._standing.born_ms} {pending_call.origin} {pending_call.number}"
         return wall_microseconds() << HASH_BITS | hash_number(name) >> (64 - HASH_BITS)
 
     def _record_crash(self):
@@ -187,7 +189,9 @@
         # before a restart is listed.  The calls that were in flight at its last
         # response are the ones that were running.
         pending_calls = [
-            work for work in self._unanswered if work.deadline > self._last_response_at
+            pending_call
+            for pending_call in self._unanswered
+            if pending_call.deadline > self._last_response_at
         ]
         pending_calls += self._running.values()
         self._unanswered.clear()
@@ -198,7 +202,10 @@
             # a request that was running at two crashes would be charged with three.
             return
         self._crash_recorded = True
-        by_number = {(work.origin, work.number): work for work in pending_calls}
+        by_number = {
+            (pending_call.origin, pending_call.number): pending_call
+            for pending_call in pending_calls
+        }
         self._last_crash = ServerCrash(
             self._crash_number(pending_calls[0]), self._standing.instance, by_number
         )
--- a/caperstack/quarantine/tests/test_crash.py
+++ b/caperstack/quarantine/tests/test_crash.py
@@ -30,7 +30,10 @@
         return self.listening
 
     def crashed_calls(self):
-        return [sorted(work.number for work in end.pending_calls.values()) for end in self.crashes]
+        return [
+            sorted(pending_call.number for pending_call in end.pending_calls.values())
+            for end in self.crashes
+        ]
 
     async def test_refused_connection_is_a_crash_with_all_running_calls(self):
         # All connections of a server break within a millisecond.  The first loss starts
