--- a/caperstack/quarantine/crash.py
+++ b/caperstack/quarantine/crash.py
@@ -122,15 +122,15 @@
         hedge.  The server may go on with it and crash, so an unanswered call is
         kept as a possible cause; otherwise only other calls would be blamed.
         """
-        pending_call = self._running.pop((call.origin, call.id), None)
+        pending = self._running.pop((call.origin, call.id), None)
         if left == BackendResult.ANSWERED:
             self.record_response()
         elif (
             left == BackendResult.UNANSWERED
-            and pending_call
+            and pending
             and len(self._unanswered) < 2 * MAX_UNANSWERED
         ):
-            self._unanswered.append(pending_call)
+            self._unanswered.append(pending)
 
     def record_response(self):
         """Record a response of the server, which rules out calls past their deadline.
@@ -180,8 +180,10 @@
         self._record_crash()
         self._crash_recorded = False
 
-    def _crash_number(self, pending_call):
-        name = f"{self._standing.instance}@{self._standing.born_ms} {pending_call.origin} {pending_call.number}"
+    def _crash_number(self, pending):
+        name = (
+            f"{self._standing.instance}@{self._standing.born_ms} {pending.origin} {pending.number}"
+        )
         return wall_microseconds() << HASH_BITS | hash_number(name) >> (64 - HASH_BITS)
 
     def _record_crash(self):
@@ -189,9 +191,7 @@
         # before a restart is listed.  The calls that were in flight at its last
         # response are the ones that were running.
         pending_calls = [
-            pending_call
-            for pending_call in self._unanswered
-            if pending_call.deadline > self._last_response_at
+            pending for pending in self._unanswered if pending.deadline > self._last_response_at
         ]
         pending_calls += self._running.values()
         self._unanswered.clear()
@@ -202,10 +202,7 @@
             # a request that was running at two crashes would be charged with three.
             return
         self._crash_recorded = True
-        by_number = {
-            (pending_call.origin, pending_call.number): pending_call
-            for pending_call in pending_calls
-        }
+        by_number = {(pending.origin, pending.number): pending for pending in pending_calls}
         self._last_crash = ServerCrash(
             self._crash_number(pending_calls[0]), self._standing.instance, by_number
         )
--- a/caperstack/quarantine/tests/test_crash.py
+++ b/caperstack/quarantine/tests/test_crash.py
@@ -21,9 +21,9 @@
         self.listening = False
         self.asked = 0
         self.standing = SimpleNamespace(state=ServerState.WARM, instance="i-1", born_ms=0)
-        self.watch = CrashDetector(self, self.standing)
+        self.detector = CrashDetector(self, self.standing)
         self.crashes = []
-        self.watch.listen(self.crashes.append)
+        self.detector.listen(self.crashes.append)
 
     async def listens(self, _deadline):
         self.asked += 1
@@ -31,33 +31,32 @@
 
     def crashed_calls(self):
         return [
-            sorted(pending_call.number for pending_call in end.pending_calls.values())
-            for end in self.crashes
+            sorted(pending.number for pending in end.pending_calls.values()) for end in self.crashes
         ]
 
     async def test_refused_connection_is_a_crash_with_all_running_calls(self):
         # All connections of a server break within a millisecond.  The first loss starts
         # the probe and the others share its result; no call counts for a second crash.
         first, second = call(1), call(2)
-        self.watch.begin(first)
-        self.watch.begin(second)
-        end = await self.watch.lost(first)
-        self.assertEqual((await self.watch.lost(second)).number, end.number)
+        self.detector.begin(first)
+        self.detector.begin(second)
+        end = await self.detector.lost(first)
+        self.assertEqual((await self.detector.lost(second)).number, end.number)
         self.assertEqual((self.crashed_calls(), self.asked), ([[1, 2]], 1))
 
     async def test_lost_answer_of_a_listening_server_is_no_crash(self):
         self.listening = True
         lost = call(1)
-        self.watch.begin(lost)
-        self.assertIsNone(await self.watch.lost(lost))
+        self.detector.begin(lost)
+        self.assertIsNone(await self.detector.lost(lost))
         self.assertEqual(self.crashes, [])
 
     async def test_answered_calls_were_not_running(self):
         answered, lost = call(1), call(2)
         for one in (answered, lost):
-            self.watch.begin(one)
-        self.watch.finish(answered, BackendResult.ANSWERED)
-        await self.watch.lost(lost)
+            self.detector.begin(one)
+        self.detector.finish(answered, BackendResult.ANSWERED)
+        await self.detector.lost(lost)
         self.assertEqual(self.crashed_calls(), [[2]])
 
     async def test_cancelled_call_may_be_running_until_its_deadline(self):
@@ -65,23 +64,23 @@
         # and crashes a moment later.  A call past its deadline is no longer running.
         cancelled, expired, lost = call(1), call(2, seconds=-1.0), call(3)
         for one in (cancelled, expired, lost):
-            self.watch.begin(one)
-        self.watch.finish(cancelled, BackendResult.UNANSWERED)
-        self.watch.finish(expired, BackendResult.UNANSWERED)
-        await self.watch.lost(lost)
+            self.detector.begin(one)
+        self.detector.finish(cancelled, BackendResult.UNANSWERED)
+        self.detector.finish(expired, BackendResult.UNANSWERED)
+        await self.detector.lost(lost)
         self.assertEqual(self.crashed_calls(), [[1, 3]])
 
     async def test_exit_of_a_leaving_server_is_no_crash(self):
         self.standing.state = ServerState.LEAVING
         lost = call(1)
-        self.watch.begin(lost)
-        self.assertIsNone(await self.watch.lost(lost))
+        self.detector.begin(lost)
+        self.assertIsNone(await self.detector.lost(lost))
 
     async def test_hung_server_has_crashed_when_its_restart_is_listed(self):
         # A server disappears without closing or refusing connections.  Only its listed
         # restart shows that its calls were lost in a crash.
-        self.watch.begin(call(1))
-        self.watch.on_server_restart()
+        self.detector.begin(call(1))
+        self.detector.on_server_restart()
         self.assertEqual(self.crashed_calls(), [[1]])
 
     async def test_calls_that_timed_out_at_a_hung_server_are_blamed_for_its_crash(self):
@@ -89,15 +88,15 @@
         # restart is listed.  The calls in flight at the last response must be blamed,
         # not crowded out by the later ones.
         fatal = call(1, seconds=0.02)
-        self.watch.record_response()
-        self.watch.begin(fatal)
+        self.detector.record_response()
+        self.detector.begin(fatal)
         await asyncio.sleep(0.03)
-        self.watch.finish(fatal, BackendResult.UNANSWERED)
+        self.detector.finish(fatal, BackendResult.UNANSWERED)
         for number in range(2, 3 * MAX_UNANSWERED):
             later = call(number, seconds=0.0)
-            self.watch.begin(later)
-            self.watch.finish(later, BackendResult.UNANSWERED)
-        self.watch.on_server_restart()
+            self.detector.begin(later)
+            self.detector.finish(later, BackendResult.UNANSWERED)
+        self.detector.on_server_restart()
         self.assertEqual(self.crashed_calls()[0][0], 1)
         self.assertLessEqual(len(self.crashed_calls()[0]), 2 * MAX_UNANSWERED)
 
@@ -105,47 +104,47 @@
         # Calls to a hung server that get no connection, or are rejected by another
         # server at its address, do not show that it is alive.
         fatal = call(1, seconds=0.01)
-        self.watch.begin(fatal)
+        self.detector.begin(fatal)
         await asyncio.sleep(0.02)
-        self.watch.finish(fatal, BackendResult.UNANSWERED)
+        self.detector.finish(fatal, BackendResult.UNANSWERED)
         later = call(2)
-        self.watch.begin(later)
-        self.watch.finish(later, BackendResult.NOT_RUN)
-        self.watch.on_server_restart()
+        self.detector.begin(later)
+        self.detector.finish(later, BackendResult.NOT_RUN)
+        self.detector.on_server_restart()
         self.assertEqual(self.crashed_calls(), [[1]])
 
     async def test_calls_past_their_deadline_at_a_response_are_not_blamed(self):
         expired = call(1, seconds=0.01)
-        self.watch.begin(expired)
-        self.watch.finish(expired, BackendResult.UNANSWERED)
+        self.detector.begin(expired)
+        self.detector.finish(expired, BackendResult.UNANSWERED)
         await asyncio.sleep(0.02)
-        self.watch.record_response()
+        self.detector.record_response()
         lost = call(2)
-        self.watch.begin(lost)
-        await self.watch.lost(lost)
+        self.detector.begin(lost)
+        await self.detector.lost(lost)
         self.assertEqual(self.crashed_calls(), [[2]])
 
     async def test_crash_is_counted_once(self):
         # Calls that are sent to the address after the crash are in flight when the
         # restart is listed, or are lost.  They must not make a second crash.
         first, second = call(1), call(2)
-        self.watch.begin(first)
-        await self.watch.lost(first)
-        self.watch.begin(second)
-        self.assertIsNone(await self.watch.lost(second))
-        self.watch.on_server_restart()
+        self.detector.begin(first)
+        await self.detector.lost(first)
+        self.detector.begin(second)
+        self.assertIsNone(await self.detector.lost(second))
+        self.detector.on_server_restart()
         self.assertEqual(self.crashed_calls(), [[1]])
         third = call(3)
-        self.watch.begin(third)
-        await self.watch.lost(third)
+        self.detector.begin(third)
+        await self.detector.lost(third)
         self.assertEqual(self.crashed_calls(), [[1], [3]])
 
     async def test_server_that_answers_again_may_crash_again(self):
         for number in (1, 2):
             lost = call(number)
-            self.watch.begin(lost)
-            await self.watch.lost(lost)
-            self.watch.record_response()
+            self.detector.begin(lost)
+            await self.detector.lost(lost)
+            self.detector.record_response()
         self.assertEqual(self.crashed_calls(), [[1], [2]])
 
     async def test_bodies_of_calls_are_not_kept(self):
@@ -155,7 +154,7 @@
         before = sys.getrefcount(body)
         large = call(1)
         large.body = body
-        self.watch.begin(large)
-        self.watch.finish(large, BackendResult.UNANSWERED)
+        self.detector.begin(large)
+        self.detector.finish(large, BackendResult.UNANSWERED)
         del large
         self.assertEqual(sys.getrefcount(body), before)
