--- a/caperstack/peers/messages.py
+++ b/caperstack/peers/messages.py
@@ -278,7 +278,7 @@
 
 
 class SuspectedEnd(_Message):
-    """A `caperstack.quarantine.suspects.End` on the wire."""
+    """A `caperstack.quarantine.suspects.Crash` on the wire."""
 
     number: _Hash
     caller: _Hash
--- a/caperstack/peers/translate.py
+++ b/caperstack/peers/translate.py
@@ -16,7 +16,7 @@
     SuspicionReport,
     Unsure,
 )
-from caperstack.quarantine.suspects import End, Suspicion
+from caperstack.quarantine.suspects import Crash, Suspicion
 
 __all__ = [
     "hello_of",
@@ -189,5 +189,5 @@
 
 def suspicion_from(report):
     """Return the `Suspicion` of a `SuspicionReport`."""
-    ends = tuple(End(end.number, end.caller, end.clearing) for end in report.ends)
+    ends = tuple(Crash(end.number, end.caller, end.clearing) for end in report.ends)
     return Suspicion(report.request, ends)
