--- a/caperstack/admission/execution.py
+++ b/caperstack/admission/execution.py
@@ -3,7 +3,7 @@
 from caperstack.calls.model import NotRun, Unknown
 from caperstack.clock import now, time_left
 from caperstack.exception import BackendError
-from caperstack.quarantine.crash import Left
+from caperstack.quarantine.crash import BackendResult
 
 __all__ = ["Execution"]
 
@@ -27,7 +27,7 @@
         Receives the failures.
     status : caperstack.admission.status.ServerStatus
         Provides the instance to which calls are addressed; receives its signs of life.
-    watch : caperstack.quarantine.crash.CrashWatch
+    watch : caperstack.quarantine.crash.CrashDetector
         Tracks the running calls, and receives lost connections.
     """
 
@@ -64,28 +64,28 @@
             pace=round(self._slowdown.value, 2),
         )
         counts = False
-        left = Left.UNANSWERED
+        left = BackendResult.UNANSWERED
         begun = now()
         self._watch.begin(call)
         try:
             answer = await self._client.fetch(call, self._status.instance)
             if isinstance(answer, NotRun):
-                left = Left.NOT_RUN
+                left = BackendResult.NOT_RUN
                 return answer
-            left = Left.ANSWERED
+            left = BackendResult.ANSWERED
             counts = answer.status < 500 or answer.status == GATEWAY_TIMEOUT
             self._metrics.time("backend_seconds", now() - begun, call.service)
             self._status.note_answer()
             self._breaker.add(answer.status >= 500)
             if answer.status < 500:
-                self._suspects.note_survival(call.fingerprint)
+                self._suspects.record_completion(call.fingerprint)
             return answer
         except BackendError as error:
             # A call that reaches its deadline counts as a sample.  Otherwise a server so slow
             # that no call ends in time would yield no samples, look fast and attract calls.
             counts = time_left(call.deadline) <= 0
             self._breaker.add(True)
-            left = Left.UNANSWERED if error.sent else Left.NOT_RUN
+            left = BackendResult.UNANSWERED if error.sent else BackendResult.NOT_RUN
             end = await self._watch.lost(call) if error.sent and not counts else None
             return self._failure(call, error, end)
         finally:
@@ -99,5 +99,5 @@
         if not error.sent:
             return NotRun(f"backend server unreachable: {error.message}", 0.2)
         late = time_left(call.deadline) <= 0.002
-        blamed = end is not None and self._suspects.blames(end.number, call.fingerprint)
+        blamed = end is not None and self._suspects.implicates(end.number, call.fingerprint)
         return Unknown(error.message, 504 if late else 502, end.number if blamed else 0)
--- a/caperstack/admission/local.py
+++ b/caperstack/admission/local.py
@@ -33,4 +33,4 @@
 
     def freshen(self, estimate):
         """Update `estimate` with the exact load, which is available at no cost."""
-        estimate.take_load(self._owner.load)
+        estimate.update_load(self._owner.load)
--- a/caperstack/admission/tests/test_owner.py
+++ b/caperstack/admission/tests/test_owner.py
@@ -585,7 +585,7 @@
         waiting = asyncio.create_task(self.owner.run(self.call_of_request(3)))
         await self.run_pending()
         for number in range(3):
-            self.suspects.note_end(number, [Fingerprint(5, 1)])
+            self.suspects.record_crash(number, [Fingerprint(5, 1)])
         self.client.answer(1)
         self.client.answer(2)
         await asyncio.gather(*busy)
@@ -596,7 +596,7 @@
         # An innocent request that ran during two crashes would be charged with a third if it
         # ran beside the culprit once more.
         for number in range(2):
-            self.suspects.note_end(number, [Fingerprint(5, 1), Fingerprint(6, 1)])
+            self.suspects.record_crash(number, [Fingerprint(5, 1), Fingerprint(6, 1)])
         first = asyncio.create_task(self.owner.run(self.call_of_request(1)))
         await self.run_pending()
         second = await self.owner.run(self.call_of_request(2, request=6))
--- a/caperstack/admission/tracker.py
+++ b/caperstack/admission/tracker.py
@@ -8,7 +8,7 @@
 from caperstack.admission.slowdown import FIRST_READING_SECONDS, HostSlowdown
 from caperstack.admission.status import ServerStatus
 from caperstack.calls.model import Load, ServerState
-from caperstack.quarantine.crash import CrashWatch
+from caperstack.quarantine.crash import CrashDetector
 
 __all__ = ["ServerTracker"]
 
@@ -37,7 +37,7 @@
         self._listeners = []
         self._breaker = CircuitBreaker()
         self._published = 0
-        self._watch = CrashWatch(client, self._status)
+        self._watch = CrashDetector(client, self._status)
         self._watch.listen(self._on_end)
         self._refresh = None
         self._metrics = None
@@ -128,7 +128,7 @@
     def note_instance(self, instance):
         """Record which instance has answered; if it is another one, the assigned one has ended."""
         if instance == self._status.instance:
-            self._watch.note_life()
+            self._watch.record_response()
         if instance and self._status.instance:
             self.set_state(self._status.set_ended(instance != self._status.instance))
 
@@ -179,7 +179,7 @@
         self._events.state("instance", status.instance, f"{instance} of {service}, {born_ms}")
         first = not status.instance
         if not first:
-            self._watch.started_anew()
+            self._watch.on_server_restart()
         moved = status.service not in ("", service)
         status.instance = instance
         status.born_ms = born_ms
@@ -204,12 +204,14 @@
 
     def _on_end(self, end):
         self._metrics.count("backend_ends")
-        self._suspects.note_end(end.number, [work.fingerprint for work in end.works.values()])
+        self._suspects.record_crash(
+            end.number, [work.fingerprint for work in end.pending_calls.values()]
+        )
         self._events.belief(
             "backend server ended",
             instance=end.instance,
             end=f"{end.number:016x}",
-            at_work={work.request_id: work.fingerprint.text for work in end.works.values()},
+            at_work={work.request_id: work.fingerprint.text for work in end.pending_calls.values()},
         )
         self.set_state(self._status.set_ended(True))
 
--- a/caperstack/peers/messages.py
+++ b/caperstack/peers/messages.py
@@ -297,7 +297,7 @@
 
 
 class SuspectedEnd(_MessageStruct):
-    """A `caperstack.quarantine.suspects.End` on the wire."""
+    """A `caperstack.quarantine.suspects.Crash` on the wire."""
 
     number: _Hash
     caller: _Hash
--- a/caperstack/play/policies.py
+++ b/caperstack/play/policies.py
@@ -79,7 +79,7 @@
     "limit does not adapt": ("load_aware", {f"{_LIMIT}.AdaptiveLimit.adjust": _no_step}),
     "slow servers are not doubted": ("load_aware", {f"{_LIMIT}.PROBE_THRESHOLD": 1e9}),
     "failing servers are not gated": ("load_aware", {f"{_LIMIT}.OPEN_FAILURE_SHARE": 2.0}),
-    "nobody is ejected": ("load_aware", {f"{_ESTIMATES}.EJECT_SHARE": 2.0}),
+    "nobody is ejected": ("load_aware", {f"{_ESTIMATES}.EJECTION_FAILURE_SHARE": 2.0}),
     "fixed first guess": ("load_aware", {"caperstack.calls.model.WORK_SHARE": 0.0}),
     "first pace believed": ("load_aware", {f"{_PACE}.MAX_INITIAL_BASELINE": 1e9}),
     "visits ignored": (
@@ -102,7 +102,7 @@
         "load_aware",
         {"caperstack.peers.interest.CALLS_SECONDS": 5.0},
     ),
-    "no zone is nearer": ("load_aware", {"caperstack.routing.policies.ZONE_SECONDS": 0.0}),
+    "no zone is nearer": ("load_aware", {"caperstack.routing.policies.ZONE_HOP_SECONDS": 0.0}),
     "callers return at once": ("load_aware", {f"{_GATE}.RETRY_DELAY_SHARE": 0.0}),
     "returns not spread": ("load_aware", {f"{_GATE}.RETRY_JITTER": 0.0}),
     "return later after a refusal": (
--- a/caperstack/quarantine/crash.py
+++ b/caperstack/quarantine/crash.py
@@ -1,4 +1,4 @@
-"""Tell the end of a backend server from other losses, and what was at work then."""
+"""Detection of backend server crashes, and of the calls that were running then."""
 
 import asyncio
 from collections import deque
@@ -10,37 +10,38 @@
 from caperstack.clock import deadline_after, now, wall_microseconds
 from caperstack.membership.order import hash_number
 
-__all__ = ["CrashWatch", "Left", "ServerEnd", "Work"]
+__all__ = ["BackendResult", "CrashDetector", "PendingCall", "ServerCrash"]
 
-#: How long the question waits whether the backend server still listens, in
-#: seconds; on its own host a connection takes 0.2 ms, and so does its refusal.
-ASK_SECONDS = 0.05
+#: Timeout of the probe whether the backend server still listens, in seconds.  On the
+#: same host a connection is accepted or refused within 0.2 ms.
+PROBE_TIMEOUT_SECONDS = 0.05
 
-#: Calls without an answer that may be at work still: the latest until the server's
-#: last sign of life, twice the slots of the largest backend server of the sheets,
-#: and the first ones after it.  What comes later to a server that has gone silent
-#: did not make it so.
-UNANSWERED_MOST = 36
+#: Unanswered calls that are kept because they may still be running: this many of the
+#: latest up to the server's last response, and as many of the first after it.  It is
+#: twice the slots of the largest specified backend server.  Calls that reach a hung
+#: server later did not cause the hang.
+MAX_UNANSWERED = 36
 
-#: Bits of an end's number that tell it apart from others of the same microsecond;
-#: with the wall clock before them the number fits into 64.
-CHANCE_BITS = 12
+#: Low bits of a crash number, a hash that distinguishes crashes in the same microsecond.
+#: With the wall clock in the high bits the number fits into 64 bits.
+HASH_BITS = 12
 
 
-class Left(IntEnum):
-    """What a call has left at the backend server when it is over for its owner."""
+class BackendResult(IntEnum):
+    """What is known of a call at the backend server when the owner is done with it."""
 
-    #: Nothing, and the server lives.
+    #: The server answered, so it is alive and the call has ended.
     ANSWERED = 0
-    #: Nothing: it never ran; whoever said so may be another server at the address.
+    #: The call never ran.  Another server at the address may have said so, so this is
+    #: no evidence that the server is alive.
     NOT_RUN = 1
-    #: It may be at work there still.
+    #: The call may still be running.
     UNANSWERED = 2
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
-    """What is kept of a call that is at work; its body is not, which may be large."""
+class PendingCall:
+    """What is kept of a running call; not its body, which may be large."""
 
     origin: str
     number: int
@@ -50,31 +51,31 @@
 
     @classmethod
     def of(cls, call):
-        """Return what to keep of `call`."""
+        """Return the `PendingCall` for `call`."""
         return cls(call.origin, call.id, call.request_id, call.fingerprint, call.deadline)
 
 
 @dataclass(frozen=True, slots=True)
-class ServerEnd:
-    """A backend server that ended while calls were at work.
+class ServerCrash:
+    """A crash of a backend server while calls were running.
 
     Attributes
     ----------
     number : int
-        Names this end among all ends of all servers; a later one has a higher number.
+        Identifies the crash among those of all servers; a later one has a higher number.
     instance : str
-        The instance that ended.
-    works : dict
-        The `Work` of each call that was at work, by entry and number.
+        The instance that crashed.
+    pending_calls : dict
+        The `PendingCall` of each running call, by entry and number.
     """
 
     number: int
     instance: str
-    works: dict
+    pending_calls: dict
 
 
-class CrashWatch:
-    """Knows what is at work at one backend server, and notices when it ends.
+class CrashDetector:
+    """Track the calls running at one backend server, and detect its crashes.
 
     Parameters
     ----------
@@ -82,108 +83,128 @@
         With ``async listens(deadline)``, as
         `caperstack.backend.client.BackendClient`.
     standing : caperstack.admission.status.ServerStatus
-        Which instance it is and whether it leaves.
+        The instance of the server and its state.
 
     Notes
     -----
-    A lost connection alone says little: the server may have forgotten an idle
-    one, lost an answer, or been cut off for a moment, and lives on.  It has ended
-    if it refuses the next connection, or if another start of it is listed while
-    calls of the last one are still out.  A server that leaves ends in peace.
+    A lost connection alone is no proof of a crash: the server may have closed an idle
+    connection, lost an answer, or been unreachable for a moment.  It has crashed if
+    it refuses the next connection, or if a restart of it is listed while calls of
+    the previous run are still unanswered.  The exit of a server that is leaving or
+    stopping is not a crash.
     """
 
     def __init__(self, client, standing):
         self._client = client
         self._standing = standing
-        self._at_work = {}
+        self._running = {}
         self._unanswered = deque()
-        self._alive_at = now()
-        self._asking = None
-        self._last = None
-        self._ended = False
+        self._last_response_at = now()
+        self._probe_task = None
+        self._last_crash = None
+        self._crash_recorded = False
         self._listeners = []
 
     def listen(self, listener):
-        """Call ``listener(end)`` with each `ServerEnd`."""
+        """Call ``listener(crash)`` with each `ServerCrash`."""
         self._listeners.append(listener)
 
     def begin(self, call):
-        """`call` goes to the backend server."""
-        self._at_work[call.origin, call.id] = Work.of(call)
+        """Record that `call` is sent to the backend server."""
+        self._running[call.origin, call.id] = PendingCall.of(call)
 
     def finish(self, call, left):
-        """`call` is over here; `left` tells what it has left at the backend server.
+        """Record that the owner is done with `call`, with the `BackendResult` `left`.
 
         Notes
         -----
-        Failure: a caller leaves, or a hedge has won, and the call is cancelled;
-        the server works on, and ends of it.  Nothing that was known to be at work
-        would bear the blame, and others would.
+        A call is cancelled when its caller disconnects or another attempt has won a
+        hedge.  The server may go on with it and crash, so an unanswered call is
+        kept as a possible cause; otherwise only other calls would be blamed.
         """
-        work = self._at_work.pop((call.origin, call.id), None)
-        if left == Left.ANSWERED:
-            self.note_life()
-        elif left == Left.UNANSWERED and work and len(self._unanswered) < 2 * UNANSWERED_MOST:
-            self._unanswered.append(work)
-
-    def note_life(self):
-        """The backend server has answered something: what is over by now did not end it."""
-        self._alive_at = now()
-        self._ended = False
+        pending = self._running.pop((call.origin, call.id), None)
+        if left == BackendResult.ANSWERED:
+            self.record_response()
+        elif (
+            left == BackendResult.UNANSWERED
+            and pending
+            and len(self._unanswered) < 2 * MAX_UNANSWERED
+        ):
+            self._unanswered.append(pending)
+
+    def record_response(self):
+        """Record a response of the server, which rules out calls past their deadline.
+
+        Notes
+        -----
+        A call whose deadline has passed when the server responds did not crash it.
+        """
+        self._last_response_at = now()
+        self._crash_recorded = False
         while self._unanswered and (
-            self._unanswered[0].deadline < self._alive_at or len(self._unanswered) > UNANSWERED_MOST
+            self._unanswered[0].deadline < self._last_response_at
+            or len(self._unanswered) > MAX_UNANSWERED
         ):
             self._unanswered.popleft()
 
     async def lost(self, call):
-        """Return the `ServerEnd` that took `call`, or ``None`` if the server lives."""
-        if not self._took(call):
-            if self._asking is None:
-                self._asking = asyncio.create_task(self._ask())
-            await asyncio.shield(self._asking)
-        return self._last if self._took(call) else None
-
-    def _took(self, call):
-        return self._last is not None and (call.origin, call.id) in self._last.works
-
-    async def _ask(self):
+        """Return the `ServerCrash` in which `call` was lost, or ``None`` if the server is alive."""
+        if not self._includes(call):
+            if self._probe_task is None:
+                self._probe_task = asyncio.create_task(self._probe())
+            await asyncio.shield(self._probe_task)
+        return self._last_crash if self._includes(call) else None
+
+    def _includes(self, call):
+        return (
+            self._last_crash is not None
+            and (call.origin, call.id) in self._last_crash.pending_calls
+        )
+
+    async def _probe(self):
         try:
-            listens = await self._client.listens(deadline_after(ASK_SECONDS))
+            listens = await self._client.listens(deadline_after(PROBE_TIMEOUT_SECONDS))
         finally:
-            self._asking = None
-        if listens is False and not self._leaves:
-            self._end()
+            self._probe_task = None
+        if listens is False and not self._is_leaving:
+            self._record_crash()
 
     @property
-    def _leaves(self):
+    def _is_leaving(self):
         return self._standing.state in (ServerState.LEAVING, ServerState.STOPPING)
 
-    def started_anew(self):
-        """Another start of the backend server is listed: what the last one ran ended with it."""
-        if self._leaves:
+    def on_server_restart(self):
+        """Handle a listed restart of the server: calls of the previous run ended with it."""
+        if self._is_leaving:
             self._unanswered.clear()
-        self._end()
-        self._ended = False
-
-    def _number(self, work):
-        name = f"{self._standing.instance}@{self._standing.born_ms} {work.origin} {work.number}"
-        return wall_microseconds() << CHANCE_BITS | hash_number(name) >> (64 - CHANCE_BITS)
-
-    def _end(self):
-        # Failure: a server goes silent without breaking a connection, and its
-        # calls are given up long before another start of it is listed.  What it
-        # was at work on is what was out at its last sign of life.
-        works = [work for work in self._unanswered if work.deadline > self._alive_at]
-        works += self._at_work.values()
+        self._record_crash()
+        self._crash_recorded = False
+
+    def _crash_number(self, pending):
+        name = (
+            f"{self._standing.instance}@{self._standing.born_ms} {pending.origin} {pending.number}"
+        )
+        return wall_microseconds() << HASH_BITS | hash_number(name) >> (64 - HASH_BITS)
+
+    def _record_crash(self):
+        # A server may hang without closing a connection, and its calls time out long
+        # before a restart is listed.  The calls that were in flight at its last
+        # response are the ones that were running.
+        pending_calls = [
+            pending for pending in self._unanswered if pending.deadline > self._last_response_at
+        ]
+        pending_calls += self._running.values()
         self._unanswered.clear()
-        self._at_work.clear()
-        if not works or self._ended:
-            # Failure: calls that were sent to the address after the end, and met
-            # the next start before the list names it, make a second end of one;
-            # what was at work at two ends would have three to its name.
+        self._running.clear()
+        if not pending_calls or self._crash_recorded:
+            # Calls sent to the address after the crash may reach the restarted server
+            # before the restart is listed.  They must not count as a second crash, or
+            # a request that was running at two crashes would be charged with three.
             return
-        self._ended = True
-        by_number = {(work.origin, work.number): work for work in works}
-        self._last = ServerEnd(self._number(works[0]), self._standing.instance, by_number)
+        self._crash_recorded = True
+        by_number = {(pending.origin, pending.number): pending for pending in pending_calls}
+        self._last_crash = ServerCrash(
+            self._crash_number(pending_calls[0]), self._standing.instance, by_number
+        )
         for listener in self._listeners:
-            listener(self._last)
+            listener(self._last_crash)
--- a/caperstack/quarantine/suspects.py
+++ b/caperstack/quarantine/suspects.py
@@ -1,4 +1,4 @@
-"""Which requests were at work when backend servers ended, and what follows from it."""
+"""Requests that were running when backend servers crashed, and how they may be sent."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -7,45 +7,45 @@
 from caperstack.calls.model import NotRun
 from caperstack.clock import deadline_after, now, time_left
 
-__all__ = ["Clearing", "End", "Suspects", "Suspicion", "Verdict"]
+__all__ = ["Clearing", "Crash", "Suspects", "Suspicion", "Verdict"]
 
-#: Ends of backend servers at which a request was at work, from which on it runs alone
-#: among such requests, and from which on it is not sent at all.  A bystander is at
-#: one by chance, and at a second where it was repeated beside the culprit; run
-#: apart from then on, the culprit alone reaches the third.
-ALONE_FROM = 2
-QUARANTINED_FROM = 3
+#: Number of server crashes during which a request was running, from which on it is
+#: isolated (one such request at a time), and from which on it is not sent at all.  An
+#: unrelated request is present at one crash by chance, and at a second if it was
+#: retried next to the cause.  With isolation only the cause reaches the third.
+MIN_CRASHES_ALONE = 2
+MIN_CRASHES_QUARANTINED = 3
 
-#: For how long a request is kept away after its third end, in seconds; twice as
-#: long after each further one, up to the longest.  It may then be tried again,
-#: alone: the trial costs a server and what runs there, and it ends the quarantine
-#: of a request whose fault was mended meanwhile.
+#: Duration of the quarantine after the third crash in seconds; it doubles with each
+#: further crash up to the maximum.  Then the request may be tried again in isolation.
+#: The trial may crash a server with all calls on it, but it ends the quarantine of a
+#: request whose fault has been fixed.
 QUARANTINE_SECONDS = 300.0
-QUARANTINE_SECONDS_MOST = 3600.0
+MAX_QUARANTINE_SECONDS = 3600.0
 
-#: How long nothing may be heard of a suspect until it is forgotten, in seconds.
-FORGET_SECONDS = 7200.0
+#: A suspect without new information for this time is dropped, in seconds.
+SUSPECT_TTL_SECONDS = 7200.0
 
-#: A request that ran whole here within so many seconds before an end does not
-#: bear the blame for it.
-SURVIVED_SECONDS = 10.0
+#: A request that completed on this node within this time before a crash is not
+#: blamed for the crash, in seconds.
+COMPLETION_VALID_SECONDS = 10.0
 
-#: Requests that are remembered as having run whole; a node answers up to 60 a
-#: second, so a request that comes each second is always among them.
-SURVIVORS_MOST = 256
+#: Completed requests that are remembered.  A node answers up to 60 calls per second,
+#: so a request that comes every second is always among them.
+MAX_COMPLETIONS = 256
 
-#: Suspects and ends of one that are kept: 200 kB at the most.
-SUSPECTS_MOST = 512
-ENDS_MOST = 8
+#: Suspects that are kept, and crashes per suspect: at most 200 kB.
+MAX_SUSPECTS = 512
+MAX_CRASHES_PER_SUSPECT = 8
 
 
 class Clearing(IntEnum):
-    """How far a whole run of the request has cleared it of an end."""
+    """How far a completed run of the request has cleared it of a crash."""
 
     NONE = 0
-    #: It ran whole for another caller.
+    #: It completed for another caller.
     OTHERS = 1
-    #: It ran whole for the same caller.
+    #: It completed for the same caller.
     ALL = 2
 
 
@@ -58,17 +58,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class End:
-    """The end of a backend server, as it bears on one request.
+class Crash:
+    """The crash of a backend server, as recorded for one request.
 
     Attributes
     ----------
     number : int
-        Names it among all ends of all servers; a later one has a higher number.
+        Identifies the crash among those of all servers; a later one has a higher number.
     caller : int
-        Hash of who asked for the request that was at work.
+        Hash of the caller of the request that was running.
     clearing : Clearing
-        Whether the request has run whole since.
+        Whether a completed run has cleared the request of this crash.
     """
 
     number: int
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspicion:
-    """All that is known of one request; of two, the union is known."""
+    """All crashes known for one request; two suspicions are merged as a union."""
 
     request: int
     ends: tuple
@@ -86,22 +86,22 @@
 
 @dataclass(slots=True)
 class _Record:
-    """What is kept of one request; ``told`` is the verdict that was logged last."""
+    """The state of one suspect; ``logged_verdict`` is the last verdict in the log."""
 
     ends: dict = field(default_factory=dict)
     quarantined_until: float = 0.0
-    forget_at: float = 0.0
-    told: int = Verdict.FREE
+    expires_at: float = 0.0
+    logged_verdict: int = Verdict.FREE
 
     def count(self, caller):
-        """Return how many ends speak against the request when `caller` asks for it.
+        """Return how many crashes count against the request when `caller` sends it.
 
         Notes
         -----
-        A request may be fatal for one caller only, whose data it needs, or for
-        all.  Ends under one caller speak against that caller's requests alone, so
-        that others who ask for the same stay served; once it was fatal for two
-        and nobody got an answer, it counts for everybody.
+        A request may crash servers for one caller only, whose data it needs, or for
+        all callers.  Crashes for one caller count against that caller alone, so that
+        the same request of others is still served.  Once it has crashed servers for
+        two callers and nobody has got an answer, the crashes count for everybody.
         """
         own = sum(e.caller == caller and e.clearing < Clearing.ALL for e in self.ends.values())
         open_ends = [e for e in self.ends.values() if e.clearing == Clearing.NONE]
@@ -109,52 +109,52 @@
         return max(own, len(open_ends) if shared else 0)
 
     @property
-    def worst(self):
-        """The count for the caller against whom most speaks."""
+    def max_count(self):
+        """The highest count among the callers."""
         return max(self.count(caller) for caller in {e.caller for e in self.ends.values()})
 
 
 class Suspects:
-    """Judge requests by the ends of backend servers at which they were at work.
+    """Decide how requests may be sent, by the crashes during which they were running.
 
     Notes
     -----
-    Failure: a request ends each backend server that runs it, comes again under a
-    new id at any node, and is repeated by entries whose call was lost; a service
-    loses all its servers again and again.  Each node judges by itself, from the
-    ends that owners have told; of two accounts of a request it takes the union,
-    so their order does not matter and none is lost by being told twice.
-
-    It suffices since a run that ends whole clears the request, wherever it ran:
-    what never ran whole at three ends is either their cause or so rare that
-    keeping it away harms nobody else.
+    A request that crashes every backend server that runs it may come again under a
+    new id at any node, and entries that lost the call retry it.  Without quarantine
+    a service would lose all its servers again and again.
+
+    Each node decides on its own, from the crashes that owners report.  Reports on a
+    request are merged as a union, so neither their order nor repetition matters.
+    A completed run clears the request, wherever it ran.  A request that was running
+    at three crashes and never completed is therefore either their cause, or so rare
+    that refusing it affects nobody else.
     """
 
     def __init__(self):
         self._records = OrderedDict()
-        self._survivors = OrderedDict()
+        self._completions = OrderedDict()
         self._listeners = []
         self._events = None
         self._metrics = None
 
     async def start(self, kernel):
-        """Show how many there are."""
+        """Look up the services needed, and register the gauges."""
         self._events = kernel.find("events")
         self._metrics = kernel.find("metrics")
         self._metrics.gauge("suspects", "requests at work when servers ended", self._suspected)
         self._metrics.gauge("quarantined", "requests that are not sent", self._quarantined)
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing; there are no resources to release."""
 
     def listen(self, listener):
-        """Call ``listener(request, source)`` when more is known of a request than before."""
+        """Call ``listener(request, source)`` when new information on a request arrives."""
         self._listeners.append(listener)
 
     # -- verdicts ---------------------------------------------------------
 
     def count(self, fingerprint):
-        """Return how many ends of backend servers speak against a request."""
+        """Return how many crashes count against a request."""
         record = self._records.get(fingerprint.request)
         return 0 if record is None else record.count(fingerprint.caller)
 
@@ -163,50 +163,51 @@
         record = self._records.get(fingerprint.request)
         if record is None:
             return Verdict.FREE
-        if now() > record.forget_at:
+        if now() > record.expires_at:
             del self._records[fingerprint.request]
             return Verdict.FREE
         count = record.count(fingerprint.caller)
-        if count >= QUARANTINED_FROM and now() < record.quarantined_until:
+        if count >= MIN_CRASHES_QUARANTINED and now() < record.quarantined_until:
             return Verdict.QUARANTINED
-        return Verdict.ALONE if count >= ALONE_FROM else Verdict.FREE
+        return Verdict.ALONE if count >= MIN_CRASHES_ALONE else Verdict.FREE
 
     def refusal(self, call):
-        """Return the `NotRun` for a call that must not be sent, or ``None``."""
+        """Return the `NotRun` for a call whose request is quarantined, or ``None``."""
         if self.verdict(call.fingerprint) != Verdict.QUARANTINED:
             return None
         wait = time_left(self._records[call.fingerprint.request].quarantined_until)
         return NotRun("request is quarantined: servers ended of it", wait)
 
-    # -- what is learnt ---------------------------------------------------
+    # -- updates ----------------------------------------------------------
 
-    def note_end(self, number, fingerprints):
-        """A backend server ended while these requests were at work."""
+    def record_crash(self, number, fingerprints):
+        """Record the crash of a backend server while these requests were running."""
         for fingerprint in fingerprints:
-            clearing = self._survived(fingerprint)
+            clearing = self._clearing_by_completions(fingerprint)
             if clearing != Clearing.ALL:
-                end = End(number, fingerprint.caller, clearing)
+                end = Crash(number, fingerprint.caller, clearing)
                 self.take(Suspicion(fingerprint.request, (end,)))
 
-    def blames(self, number, fingerprint):
-        """Return whether that end speaks against a request."""
+    def implicates(self, number, fingerprint):
+        """Return whether crash `number` is recorded for a request."""
         record = self._records.get(fingerprint.request)
         return record is not None and number in record.ends
 
-    def note_survival(self, fingerprint):
-        """A request ran whole: no end until now was of its making."""
+    def record_completion(self, fingerprint):
+        """Record that a request completed, and clear it of the crashes before."""
         if not fingerprint.request:
             return
-        until = deadline_after(SURVIVED_SECONDS)
+        until = deadline_after(COMPLETION_VALID_SECONDS)
         for key in (fingerprint, fingerprint.request):
-            self._survivors[key] = until
-            self._survivors.move_to_end(key)
-        while len(self._survivors) > 2 * SURVIVORS_MOST:
-            self._survivors.popitem(last=False)
+            self._completions[key] = until
+            self._completions.move_to_end(key)
+        while len(self._completions) > 2 * MAX_COMPLETIONS:
+            self._completions.popitem(last=False)
         record = self._records.get(fingerprint.request)
         if record is not None:
             ends = (
-                End(e.number, e.caller, self._cleared(e, fingerprint)) for e in record.ends.values()
+                Crash(e.number, e.caller, self._cleared(e, fingerprint))
+                for e in record.ends.values()
             )
             self.take(Suspicion(fingerprint.request, tuple(ends)))
 
@@ -215,53 +216,53 @@
         same = end.caller == fingerprint.caller
         return max(end.clearing, Clearing.ALL if same else Clearing.OTHERS)
 
-    def _survived(self, fingerprint):
-        """Return the `Clearing` by runs that ended whole here a short while ago."""
+    def _clearing_by_completions(self, fingerprint):
+        """Return the `Clearing` by recent completed runs on this node."""
         moment = now()
-        if self._survivors.get(fingerprint, 0.0) > moment:
+        if self._completions.get(fingerprint, 0.0) > moment:
             return Clearing.ALL
-        if self._survivors.get(fingerprint.request, 0.0) > moment:
+        if self._completions.get(fingerprint.request, 0.0) > moment:
             return Clearing.OTHERS
         return Clearing.NONE
 
     def take(self, suspicion, source=""):
-        """Take over what `source` knows of a request, this node itself if empty.
+        """Merge the `suspicion` of the peer `source`; of this node itself if empty.
 
         Returns
         -------
         bool
-            Whether anything of it is news.
+            Whether it contained anything new.
         """
         if not suspicion.ends or not suspicion.request:
             return False
         record = self._records.get(suspicion.request)
         held = {} if record is None else record.ends
-        ends = _union(held, suspicion.ends)
+        ends = _merge(held, suspicion.ends)
         if ends == held:
             return False
         if record is None:
             self._make_room()
             record = self._records[suspicion.request] = _Record()
         record.ends = ends
-        self._judge(suspicion.request, record, not ends.keys() <= held.keys(), source)
+        self._update_verdict(suspicion.request, record, not ends.keys() <= held.keys(), source)
         for listener in self._listeners:
             listener(suspicion.request, source)
         return True
 
-    def _judge(self, request, record, further, source):
-        record.forget_at = deadline_after(FORGET_SECONDS)
+    def _update_verdict(self, request, record, further, source):
+        record.expires_at = deadline_after(SUSPECT_TTL_SECONDS)
         self._records.move_to_end(request)
-        count = record.worst
-        if further and count >= QUARANTINED_FROM:
-            seconds = QUARANTINE_SECONDS * 2 ** (count - QUARANTINED_FROM)
-            record.quarantined_until = deadline_after(min(QUARANTINE_SECONDS_MOST, seconds))
-        told, record.told = record.told, _verdict_at(count)
-        if record.told != told:
+        count = record.max_count
+        if further and count >= MIN_CRASHES_QUARANTINED:
+            seconds = QUARANTINE_SECONDS * 2 ** (count - MIN_CRASHES_QUARANTINED)
+            record.quarantined_until = deadline_after(min(MAX_QUARANTINE_SECONDS, seconds))
+        previous, record.logged_verdict = record.logged_verdict, _verdict_at(count)
+        if record.logged_verdict != previous:
             self._events.belief(
                 "suspect",
                 asks=f"{request:016x}",
-                old=Verdict(told).name.lower(),
-                new=record.told.name.lower(),
+                old=Verdict(previous).name.lower(),
+                new=record.logged_verdict.name.lower(),
                 ends=[f"{number:016x}" for number in record.ends],
                 count=count,
                 source=source,
@@ -269,47 +270,50 @@
             )
 
     def _make_room(self):
-        if len(self._records) < SUSPECTS_MOST:
+        if len(self._records) < MAX_SUSPECTS:
             return
-        light = (r for r, record in self._records.items() if record.worst < ALONE_FROM)
-        del self._records[next(light, next(iter(self._records)))]
+        unrestricted = (
+            r for r, record in self._records.items() if record.max_count < MIN_CRASHES_ALONE
+        )
+        del self._records[next(unrestricted, next(iter(self._records)))]
 
-    # -- what is told -----------------------------------------------------
+    # -- reports to peers -------------------------------------------------
 
     def suspicion(self, request):
-        """Return the `Suspicion` on a request, or ``None`` if it is no longer kept."""
+        """Return the `Suspicion` on a request, or ``None`` if it has been dropped."""
         record = self._records.get(request)
         return None if record is None else Suspicion(request, tuple(record.ends.values()))
 
-    def grave(self):
-        """Return the suspicions of two ends or more, which a node must know before it sends."""
+    def restricted(self):
+        """Return the suspicions with two or more crashes, which restrict how to send."""
         records = self._records.items()
-        return [self.suspicion(r) for r, record in records if record.worst >= ALONE_FROM]
+        return [self.suspicion(r) for r, record in records if record.max_count >= MIN_CRASHES_ALONE]
 
     def _suspected(self):
-        return sum(record.worst > 0 for record in self._records.values())
+        return sum(record.max_count > 0 for record in self._records.values())
 
     def _quarantined(self):
-        return sum(record.worst >= QUARANTINED_FROM for record in self._records.values())
+        return sum(record.max_count >= MIN_CRASHES_QUARANTINED for record in self._records.values())
 
 
-def _union(held, ends):
-    """Return what is known of a request from both sides, the latest `ENDS_MOST` ends.
+def _merge(held, ends):
+    """Return the union of `held` and `ends`, limited to the latest crashes.
 
     Notes
     -----
-    Which ends are kept depends on their numbers alone, not on who heard of them
-    first: two nodes would else tell each other for ever what the other has dropped.
+    At most `MAX_CRASHES_PER_SUSPECT` are kept.  Which ones depends on their numbers
+    alone, not on the order of arrival.  Otherwise two nodes would forever send each
+    other the crashes that the other has dropped.
     """
     union = dict(held)
     for end in ends:
         known = union.get(end.number)
         if known is None or known.clearing < end.clearing:
             union[end.number] = end
-    return {number: union[number] for number in sorted(union)[-ENDS_MOST:]}
+    return {number: union[number] for number in sorted(union)[-MAX_CRASHES_PER_SUSPECT:]}
 
 
 def _verdict_at(count):
-    if count >= QUARANTINED_FROM:
+    if count >= MIN_CRASHES_QUARANTINED:
         return Verdict.QUARANTINED
-    return Verdict.ALONE if count >= ALONE_FROM else Verdict.FREE
+    return Verdict.ALONE if count >= MIN_CRASHES_ALONE else Verdict.FREE
--- a/caperstack/routing/dispatch.py
+++ b/caperstack/routing/dispatch.py
@@ -1,4 +1,4 @@
-"""The entry: send a call to an owner, and elsewhere again when that is safe."""
+"""Dispatch of calls by the entry: server choice, retries and hedging."""
 
 import asyncio
 import copy
@@ -9,36 +9,35 @@
 from caperstack.exception import PeerError
 from caperstack.quarantine.suspects import Verdict
 from caperstack.routing.budgets import CallBudget, share_at_depth
-from caperstack.routing.candidates import PATIENCE, Candidates
-from caperstack.routing.service import FIRST_USUAL_SECONDS, Attempts, ServiceState
+from caperstack.routing.candidates import QUEUE_WAIT_FACTOR, Candidates
+from caperstack.routing.service import INITIAL_BASELINE_SECONDS, Attempts, ServiceState
 
 __all__ = ["Dispatcher"]
 
-#: Answers that an idempotent call may try to better at another server.
+#: HTTP statuses after which an idempotent call may be retried at another server.
 REPEATABLE_STATUSES = frozenset((500, 502, 503, 504))
 
-
-#: How soon a call may come back for which there is no server, in seconds.
-NOBODY_SECONDS = 1.0
+#: Retry-after time of a call for which there is no backend server, in seconds.
+NO_SERVER_RETRY_SECONDS = 1.0
 
 
 class Dispatcher:
-    """Choose owners for calls, and retry or hedge where nothing can run twice.
+    """Send calls to owners, and retry or hedge them where that is safe.
 
     Notes
     -----
-    A non-idempotent call has one attempt out at any moment, and moves to
-    another owner only with the proof that the last attempt did not run.
+    A non-idempotent call has at most one attempt in flight, and is sent to
+    another owner only if the previous attempt provably did not run.
     """
 
     def __init__(self, here, rng=None, allowance=None):
         self._allowance = allowance
-        self._numbers = call_ids()
+        self._call_ids = call_ids()
         self._services = {}
         self.candidates = Candidates(here, rng or random.Random())
 
     async def start(self, kernel):
-        """Find the services that this one needs."""
+        """Look up the services that the dispatcher depends on."""
         self._members = kernel.find("members")
         self._settings = kernel.find("settings")
         self._metrics = kernel.find("metrics")
@@ -46,24 +45,24 @@
         self._suspects = kernel.find("suspects")
         self.candidates.start(self._members, self._metrics)
 
-    def usual_seconds(self, service):
-        """Return the usual time of a call of `service`, in seconds."""
+    def baseline_seconds(self, service):
+        """Return the baseline duration of a call of `service`, in seconds."""
         state = self._services.get(service)
-        return FIRST_USUAL_SECONDS if state is None else state.usual_seconds
+        return INITIAL_BASELINE_SECONDS if state is None else state.baseline_seconds
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing; the dispatcher holds no resources."""
 
     async def dispatch(self, call):
         """Return the `Outcome` of `call`."""
         settings = self._settings.service(call.service)
         state = self._state(call.service, settings.policy)
-        state.expect(call)
+        state.assume_duration(call)
         state.retries.deposit(self._retry_share(settings, call))
         state.hedges.deposit(share_at_depth(settings.hedge_share, call.depth))
         if call.idempotent and settings.hedge_share > 0:
             return await self._dispatch_hedged(call, state, settings)
-        return await self._try_in_turn(call, state, settings, [], Attempts(call.attempts))
+        return await self._try_sequentially(call, state, settings, [], Attempts(call.attempts))
 
     def _retry_share(self, settings, call):
         if self._allowance is not None:
@@ -74,9 +73,9 @@
         state = self._services.get(service)
         if state is None or state.policy_name != policy:
             state = self._services[service] = self._new_state(policy)
-        if self._allowance is not None and state.shared_among != self._members.version:
-            state.shared_among = self._members.version
-            self._allowance.share_out(state.retries, len(self._members))
+        if self._allowance is not None and state.allowance_version != self._members.version:
+            state.allowance_version = self._members.version
+            self._allowance.rebalance(state.retries, len(self._members))
         return state
 
     def _new_state(self, policy):
@@ -85,17 +84,18 @@
         budget = self._allowance.budget(len(self._members))
         return ServiceState(policy, budget, budget)
 
-    # -- one attempt after the other --------------------------------------
+    # -- sequential attempts ----------------------------------------------
 
-    async def _try_in_turn(self, call, state, settings, tried, attempts, queues=True):
-        """Try members until one answers; with `queues` wait at the best as a last resort.
+    async def _try_sequentially(self, call, state, settings, tried, attempts, queues=True):
+        """Try members until one answers; with `queues`, finally queue at the best one.
 
         Notes
         -----
-        First each member is asked whether it can run the call about now.  When
-        as many as the settings allow have refused, the call goes to the best
-        of all, refused or not, and waits there until its deadline.  What is lost
-        or fails there is repeated like any other, elsewhere.
+        The call is first offered to members that are expected to have a free
+        slot.  After ``refusals_per_call`` refusals, or when no such member is
+        left, it is sent to the best member, even one that has refused, and queues
+        there until its deadline.  If that attempt is lost or fails, the call is
+        retried at another member like any other.
         """
         refusals = 0
         failed = []
@@ -103,23 +103,24 @@
         while time_left(call.deadline) > 0:
             verdict = self._suspects.verdict(call.fingerprint)
             if verdict == Verdict.QUARANTINED:
-                return self._kept_away(call, best)
+                return self._refuse_quarantined(call, best)
             if verdict == Verdict.ALONE:
-                return await self._try_alone(call, state, attempts, best)
+                return await self._try_isolated(call, state, attempts, best)
             asks = refusals < settings.refusals_per_call
-            member = self.candidates.free_one(call, state, tried) if asks else None
+            member = self.candidates.pick_available(call, state, tried) if asks else None
             last = member is None
             if last and queues:
-                member = self.candidates.any_one(call, state, failed)
+                member = self.candidates.pick_any(call, state, failed)
             if member is None or not attempts.take():
                 break
             tried.append(member)
             outcome = await self._attempt(call, member, state, last)
             best = _better(outcome, best)
-            if _final(outcome):
+            if _is_final(outcome):
                 return best
             if isinstance(outcome, NotRun) and not outcome.offered:
-                # A server that began to leave while the call waited is no last resort.
+                # Refused while queued: final, unless the server started to leave
+                # meanwhile, which says nothing about the other members.
                 if last and not member.leaving:
                     return best
                 attempts.give_back()
@@ -129,10 +130,10 @@
             if not attempts.left or not self._may_repeat(call, state, outcome):
                 return best
             failed.append(member)
-        return best or NotRun(self._members.lacks(call.service), NOBODY_SECONDS)
+        return best or NotRun(self._members.lacks(call.service), NO_SERVER_RETRY_SECONDS)
 
-    def _kept_away(self, call, best):
-        """Return the outcome of a call whose request must not be sent."""
+    def _refuse_quarantined(self, call, best):
+        """Return the outcome of a call whose request is quarantined."""
         refusal = self._suspects.refusal(call)
         self._metrics.count("quarantined_calls", service=call.service)
         self._events.refusal(
@@ -145,45 +146,45 @@
         )
         return refusal if best is None or isinstance(best, NotRun) else best
 
-    async def _try_alone(self, call, state, attempts, best):
-        """Send a suspect to the one server that all entries send it to, once.
+    async def _try_isolated(self, call, state, attempts, best):
+        """Send a suspect request once, to the server that every entry picks for it.
 
         Notes
         -----
-        Failure: a request that has ended two servers comes again at several
-        entries, each sends it to another server, and all of these end.  All send
-        it to the server that stands first for this request in an order that
-        every entry computes alike, whose owner runs one suspect at a time.
+        A request that has crashed two servers may arrive at several entries.  If
+        each sent it to a different server, all of these could crash.  Every entry
+        therefore computes the same order of servers for the request and uses the
+        first, whose owner runs one suspect at a time.
         """
-        member = self.candidates.first_for(call)
+        member = self.candidates.pick_deterministic(call)
         if member is None or not attempts.take():
-            return best or NotRun(self._members.lacks(call.service), NOBODY_SECONDS)
+            return best or NotRun(self._members.lacks(call.service), NO_SERVER_RETRY_SECONDS)
         return _better(await self._attempt(call, member, state, True), best)
 
     def _may_repeat(self, call, state, outcome):
         if not call.idempotent and not isinstance(outcome, NotRun):
             return False
         if isinstance(outcome, Unknown) and self._suspects.verdict(call.fingerprint):
-            # Failure: a call that has ended two servers is taken to a third.
+            # The request was running when servers crashed; a retry could crash one more.
             self._events.decision("entry may not repeat", call, outcome="suspect")
             return False
-        if time_left(call.deadline) < state.usual_seconds:
+        if time_left(call.deadline) < state.baseline_seconds:
             return False
         if not state.retries.withdraw():
             self._metrics.count("retries_denied", service=call.service)
-            self._events.decision("entry may not repeat", call, outcome=_short(outcome))
+            self._events.decision("entry may not repeat", call, outcome=_summary(outcome))
             return False
         self._metrics.count("retries", service=call.service)
-        self._events.decision("entry repeats", call, outcome=_short(outcome))
+        self._events.decision("entry repeats", call, outcome=_summary(outcome))
         return True
 
     async def _attempt(self, call, member, state, last):
         attempt = copy.copy(call)
-        attempt.id = next(self._numbers)
+        attempt.id = next(self._call_ids)
         attempt.last = last or len(self._members.of_service(call.service)) < 2
         attempt.queue_until = call.deadline
         if not attempt.last:
-            patience = deadline_after(PATIENCE * state.usual_seconds)
+            patience = deadline_after(QUEUE_WAIT_FACTOR * state.baseline_seconds)
             attempt.queue_until = min(call.deadline, patience)
         begun = attempt.sent_at = now()
         call.notes.append((begun, f"to {member.host}"))
@@ -194,7 +195,7 @@
             to=member.host,
             last=attempt.last,
             own_in_flight=estimate.in_flight,
-            expected_ms=round(estimate.expected_seconds(state.usual_seconds) * 1000),
+            expected_ms=round(estimate.expected_seconds(state.baseline_seconds) * 1000),
             load_age_ms=estimate.age_ms,
         )
         estimate.begin()
@@ -203,8 +204,8 @@
             outcome = await self._run(attempt, member)
         finally:
             estimate.end()
-        self._learn(call, outcome, member, state, begun)
-        call.notes.append((now(), f"{member.host}: {_short(outcome)}"))
+        self._record_outcome(call, outcome, member, state, begun)
+        call.notes.append((now(), f"{member.host}: {_summary(outcome)}"))
         return outcome
 
     async def _run(self, attempt, member):
@@ -218,18 +219,19 @@
             return Unknown("connection to the owner was lost")
         return await member.owner.resolve(attempt)
 
-    def _learn(self, call, outcome, member, state, begun):
+    def _record_outcome(self, call, outcome, member, state, begun):
         if isinstance(outcome, Answered):
-            state.take_time(now() - begun, call.route)
+            state.record_duration(now() - begun, call.route)
         refused = isinstance(outcome, NotRun)
-        member.estimate.take_admission(refused and not outcome.offered)
+        member.estimate.record_admission(refused and not outcome.offered)
         if refused:
             return
         if isinstance(outcome, Unknown) and outcome.end:
-            # Before the next send of this call: others tell of the end later.
-            self._suspects.note_end(outcome.end, (call.fingerprint,))
+            # Recorded here, before this call is retried: the notice that peers
+            # send of the crash arrives later.
+            self._suspects.record_crash(outcome.end, (call.fingerprint,))
         failed = isinstance(outcome, Unknown) or outcome.status >= 500
-        if member.estimate.take_result(failed):
+        if member.estimate.record_result(failed):
             self._events.state("ejection", "in use", "ejected", member.host)
             self._metrics.count("ejections", peer=member.host)
 
@@ -238,7 +240,9 @@
     async def _dispatch_hedged(self, call, state, settings):
         tried = []
         attempts = Attempts(call.attempts)
-        first = asyncio.ensure_future(self._try_in_turn(call, state, settings, tried, attempts))
+        first = asyncio.ensure_future(
+            self._try_sequentially(call, state, settings, tried, attempts)
+        )
         try:
             delay = min(state.hedge_delay(call), max(0.0, time_left(call.deadline)))
             await asyncio.wait((first,), timeout=delay)
@@ -250,12 +254,13 @@
                 first.cancel()
 
     def _may_hedge(self, call, state, tried, attempts):
-        """Return whether a second server can take `call` now and the budget allows it.
+        """Return whether another server has a free slot and the budget allows a hedge.
 
         Notes
         -----
-        A hedge never queues: where no slot is free it would only add load.  A
-        request that has met the end of a server is not sent to two at once.
+        A hedge never queues, since without a free slot it would only add load.  A
+        request that was running when a server crashed is never sent to two
+        servers at once.
         """
         if self._suspects.count(call.fingerprint):
             return False
@@ -266,9 +271,9 @@
     async def _race(self, call, state, settings, bounds, first):
         self._metrics.count("hedges", service=call.service)
         call.notes.append((now(), "hedged"))
-        self._events.decision("entry hedges", call, usual_ms=round(state.usual_seconds * 1000))
+        self._events.decision("entry hedges", call, usual_ms=round(state.baseline_seconds * 1000))
         second = asyncio.ensure_future(
-            self._try_in_turn(call, state, settings, *bounds, queues=False)
+            self._try_sequentially(call, state, settings, *bounds, queues=False)
         )
         racers = {first, second}
         outcomes = []
@@ -276,39 +281,39 @@
             while racers:
                 done, racers = await asyncio.wait(racers, return_when=asyncio.FIRST_COMPLETED)
                 outcomes += [task.result() for task in done]
-                if any(_final(outcome) for outcome in outcomes):
+                if any(_is_final(outcome) for outcome in outcomes):
                     break
-            return min(outcomes, key=_preference)
+            return min(outcomes, key=_outcome_rank)
         finally:
             for task in racers:
                 task.cancel()
 
 
-def _final(outcome):
-    """Return whether `outcome` is an answer that no other server would better."""
+def _is_final(outcome):
+    """Return whether `outcome` is an answer that a retry would not improve."""
     return isinstance(outcome, Answered) and outcome.status not in REPEATABLE_STATUSES
 
 
-def _preference(outcome):
-    """Rank outcomes: a final answer, an answer, unknown, not run.
+def _outcome_rank(outcome):
+    """Rank outcomes, best first: final answer, other answer, unknown, not run.
 
     Notes
     -----
-    Failure: one attempt at a call is lost on the way and the next is refused;
-    told the last outcome, the caller believes that nothing ran.  "Not run" is
-    told only if it is true of every attempt.
+    "Not run" ranks last so that it is returned only if it holds for every
+    attempt.  If one attempt is lost and the next is refused, the first may have
+    run, and the caller must not be told that nothing ran.
     """
     if isinstance(outcome, Answered):
-        return 0 if _final(outcome) else 1
+        return 0 if _is_final(outcome) else 1
     return 2 if isinstance(outcome, Unknown) else 3
 
 
 def _better(outcome, best):
-    """Return the outcome to tell of two; `best` is ``None`` before the first."""
-    return outcome if best is None else min(outcome, best, key=_preference)
+    """Return the better of two outcomes; `best` is ``None`` before the first."""
+    return outcome if best is None else min(outcome, best, key=_outcome_rank)
 
 
-def _short(outcome):
+def _summary(outcome):
     if isinstance(outcome, Answered):
         return f"answered {outcome.status}"
     return f"{type(outcome).__name__}: {outcome.reason}"
--- a/caperstack/routing/split.py
+++ b/caperstack/routing/split.py
@@ -1,18 +1,18 @@
-"""Share a route's calls among services in the exact proportions of their weights."""
+"""Split the calls of a route among services in proportion to their weights."""
 
 __all__ = ["Splitter"]
 
-#: Routes whose counts are kept; a configuration has a few hundred that split.
-ROUTES_MOST = 1000
+#: Routes whose state is kept; a configuration has a few hundred with a split.
+MAX_ROUTES = 1000
 
 
 class Splitter:
-    """Smooth weighted round robin, for each route on its own.
+    """Smooth weighted round robin, separately for each route.
 
     Notes
     -----
-    Drawing at random would miss a weight of one tenth by a third over a
-    hundred calls.  The round robin is never more than one call off.
+    Random sampling misses a weight of one tenth by a third over a hundred calls.
+    Round robin is never off by more than one call.
 
     Examples
     --------
@@ -33,7 +33,7 @@
         key = (route.host, route.path, route.parts)
         credits = self._credits.get(key)
         if credits is None:
-            if len(self._credits) >= ROUTES_MOST:
+            if len(self._credits) >= MAX_ROUTES:
                 self._credits.clear()
             credits = self._credits[key] = dict.fromkeys((p.service for p in route.parts), 0.0)
         for part in route.parts:
