--- a/caperstack/membership/hostlist.py
+++ b/caperstack/membership/hostlist.py
@@ -15,12 +15,12 @@
 __all__ = ["HostListReader", "parse_host_list"]
 
 #: Seconds between two readings in a small fleet; the list lags more than that.
-READ_SECONDS = 1.0
+READ_INTERVAL_SECONDS = 1.0
 
 #: Readings a second that the whole fleet makes together, when it is large.
 FLEET_READS_PER_SECOND = 100
 
-REQUEST_SECONDS = 2.0
+REQUEST_TIMEOUT_SECONDS = 2.0
 
 
 class _Host(BaseModel):
@@ -93,16 +93,16 @@
             return
         client = AsyncHTTPClient()
         await self._try_to_read(client)
-        self._task = asyncio.create_task(self._read_for_ever(client))
+        self._task = asyncio.create_task(self._read_periodically(client))
 
     async def stop(self):
         """Stop reading."""
         if self._task is not None:
             self._task.cancel()
 
-    async def _read_for_ever(self, client):
+    async def _read_periodically(self, client):
         while True:
-            pace = max(READ_SECONDS, len(self._members) / FLEET_READS_PER_SECOND)
+            pace = max(READ_INTERVAL_SECONDS, len(self._members) / FLEET_READS_PER_SECOND)
             await asyncio.sleep(pace * random.uniform(0.8, 1.2))
             await self._try_to_read(client)
 
@@ -110,7 +110,7 @@
         try:
             await self._read(client)
         except PlatformError as error:
-            self._note(False, str(error))
+            self._report(False, str(error))
 
     async def _read(self, client):
         self._metrics.count("host_list_reads")
@@ -119,19 +119,19 @@
             response = await client.fetch(
                 f"http://{self._address}/hosts",
                 headers=headers,
-                request_timeout=REQUEST_SECONDS,
+                request_timeout=REQUEST_TIMEOUT_SECONDS,
                 raise_error=False,
             )
         except Exception as error:
             raise PlatformError(str(error), step="read", peer=self._address) from None
         if response.code == 200:
-            self._members.take_list(parse_host_list(response.body))
+            self._members.apply_host_list(parse_host_list(response.body))
             self._tag = response.headers.get("Etag", "")
         elif response.code != 304:
             raise PlatformError(f"status {response.code}", step="read", peer=self._address)
-        self._note(True, "readable")
+        self._report(True, "readable")
 
-    def _note(self, readable, text):
+    def _report(self, readable, text):
         if readable != self._readable:
             self._events.state("host list", self._readable, text, self._address)
             self._readable = readable
--- a/caperstack/membership/members.py
+++ b/caperstack/membership/members.py
@@ -103,7 +103,7 @@
     async def start(self, kernel):
         """Take in the hosts of the start settings."""
         self._events = kernel.find("events")
-        self.take_list(self._seeds(), complete=False)
+        self.apply_host_list(self._seeds(), complete=False)
 
     async def stop(self):
         """Nothing to stop."""
@@ -134,7 +134,7 @@
         """Return those of `members` that may get new calls."""
         return [m for m in members if not m.leaving and m.zone not in self.evacuated]
 
-    def lacks(self, service):
+    def unavailable_reason(self, service):
         """Return why a call of `service` has no server to go to, for the log and the caller."""
         members = self.of_service(service)
         if not members:
@@ -151,7 +151,7 @@
         """Return all members."""
         return list(self._hosts.values())
 
-    def take_list(self, entries, complete=True):
+    def apply_host_list(self, entries, complete=True):
         """Take over a host list.
 
         Parameters
@@ -165,16 +165,16 @@
         names = set()
         for entry in entries:
             names.add(entry.host)
-            self._take_entry(entry)
+            self._apply_entry(entry)
         if complete:
             for host in self._listed - names:
                 self._drop(host)
             self._listed = names
 
     def put(self, entry):
-        """Take over one `HostEntry` of the list, as `take_list` does all."""
+        """Take over one `HostEntry` of the list, as `apply_host_list` does all."""
         self._listed.add(entry.host)
-        self._take_entry(entry)
+        self._apply_entry(entry)
 
     def remove(self, host):
         """The list does not hold `host` any more, if it did."""
@@ -182,7 +182,7 @@
             self._listed.discard(host)
             self._drop(host)
 
-    def _take_entry(self, entry):
+    def _apply_entry(self, entry):
         member = self._hosts.get(entry.host)
         mine = entry.host == self._here.host
         if (
@@ -197,36 +197,36 @@
             self._drop(entry.host)
             member = None
         if member is not None and mine and member.service != entry.service:
-            self._move(member, entry.service)
+            self._change_service(member, entry.service)
         if member is None:
             member = Member(entry.host, entry.zone, entry.region, entry.service, entry.peer_address)
             self._hosts[entry.host] = member
             self.version += 1
             self._services.setdefault(entry.service, []).append(member)
             self._events.state("member", "absent", "present", entry.host)
-            self._tell(member, False)
+            self._notify(member, False)
         if entry.instance != member.instance:
-            self._start_anew(member, entry.instance)
+            self._restart(member, entry.instance)
         if entry.leaving != member.listed_leaving:
             member.listed_leaving = entry.leaving
             self._events.state("listed as leaving", not entry.leaving, entry.leaving, entry.host)
 
-    def _start_anew(self, member, instance):
+    def _restart(self, member, instance):
         """Another backend server, or another start of it, is at that host."""
         if member.instance:
             self._events.state("instance", member.instance, instance, member.host)
             member.estimate.restart()
         member.instance = instance
 
-    def _move(self, member, service):
+    def _change_service(self, member, service):
         # The backend server beside this node is now one of another service.
         self._events.state("service", member.service, service, member.host)
         self._services[member.service].remove(member)
-        self._tell(member, True)
+        self._notify(member, True)
         member.service = service
         self._services.setdefault(service, []).append(member)
         self.version += 1
-        self._tell(member, False)
+        self._notify(member, False)
 
     def _drop(self, host):
         if host == self._here.host:
@@ -235,9 +235,9 @@
         self.version += 1
         self._services[member.service].remove(member)
         self._events.state("member", "present", "absent", host)
-        self._tell(member, True)
+        self._notify(member, True)
 
-    def _tell(self, member, gone):
+    def _notify(self, member, gone):
         for listener in self._listeners:
             listener(member, gone)
 
--- a/caperstack/membership/order.py
+++ b/caperstack/membership/order.py
@@ -31,33 +31,33 @@
 
     def __init__(self, hosts=(), number=hash_number):
         self._number = number
-        self._places = sorted((number(host), host) for host in hosts)
+        self._entries = sorted((number(host), host) for host in hosts)
 
     def __len__(self):
-        return len(self._places)
+        return len(self._entries)
 
     def add(self, host):
         """Add a host."""
-        insort(self._places, (self._number(host), host))
+        insort(self._entries, (self._number(host), host))
 
     def remove(self, host):
         """Take a host out."""
-        del self._places[self.place(host)]
+        del self._entries[self.index(host)]
 
-    def place(self, host):
+    def index(self, host):
         """Return the place of a host, 0 for the first."""
-        return bisect_left(self._places, (self._number(host), host))
+        return bisect_left(self._entries, (self._number(host), host))
 
-    def at(self, place):
+    def at(self, index):
         """Return the host at a place."""
-        return self._places[place][1]
+        return self._entries[index][1]
 
     def entries(self, first, end):
         """Return ``(number, host)`` of the places from `first` to before `end`."""
-        return self._places[first:end]
+        return self._entries[first:end]
 
     def after(self, host):
         """Yield all other hosts, the one after `host` first, round to the one before it."""
-        place = self.place(host)
-        for step in range(1, len(self._places)):
-            yield self.at((place + step) % len(self._places))
+        index = self.index(host)
+        for step in range(1, len(self._entries)):
+            yield self.at((index + step) % len(self._entries))
--- a/caperstack/membership/subset.py
+++ b/caperstack/membership/subset.py
@@ -2,13 +2,13 @@
 
 from caperstack.membership.order import HostOrder, hash_number
 
-__all__ = ["SUBSET", "Subset", "subset_of"]
+__all__ = ["SUBSET_SIZE", "Subset", "subset_of"]
 
 #: Members of one service that an entry calls; half of them in its own zone.
 #: Each hears of its members' loads as they change, so what the fleet sends
 #: grows with this: at 73 hosts and 24 members every owner told 72 peers. With
 #: eight, one in four slowed by a neighbour, the chance that all are is 1 in 65,000.
-SUBSET = 8
+SUBSET_SIZE = 8
 
 
 class Subset:
@@ -60,7 +60,7 @@
 
     @property
     def members(self):
-        """At most `SUBSET` members, half of them near, the others spread over zones."""
+        """At most `SUBSET_SIZE` members, half of them near, the others spread over zones."""
         if self._chosen is None:
             self._chosen = [self._members[host] for host in self._choose()]
         return self._chosen
@@ -68,12 +68,12 @@
     def _choose(self):
         orders = {z: order for z, order in self._zones.items() if z not in self._excluded}
         count = sum(len(order) for order in orders.values())
-        if count <= SUBSET:
+        if count <= SUBSET_SIZE:
             return [h for h, member in self._members.items() if member.zone in orders]
         own = orders.pop(self._here.zone, HostOrder())
         far_count = count - len(own)
-        near = own.entries(0, max(SUBSET // 2, SUBSET - far_count))
-        far = _in_turn(list(orders.values()), SUBSET - len(near))
+        near = own.entries(0, max(SUBSET_SIZE // 2, SUBSET_SIZE - far_count))
+        far = _round_robin(list(orders.values()), SUBSET_SIZE - len(near))
         return [host for _, host in (*near, *far)]
 
 
@@ -85,7 +85,7 @@
     return subset.members
 
 
-def _in_turn(orders, count):
+def _round_robin(orders, count):
     """Return the first `count` of several orders, in which orders take turns."""
     chosen = []
     place = 0
--- a/caperstack/platform/tests/test_growth.py
+++ b/caperstack/platform/tests/test_growth.py
@@ -7,7 +7,7 @@
 import unittest
 from collections import Counter
 
-from caperstack.membership.subset import SUBSET
+from caperstack.membership.subset import SUBSET_SIZE
 from caperstack.platform.entries import decode_entry
 from caperstack.platform.standin.growth import SERVICES, GrowthFleet, Node
 from caperstack.play.virtual import run_virtual
@@ -113,7 +113,7 @@
         finally:
             sys.setprofile(None)
         self.assertTrue(node.members.find(host).leaving)
-        self.assertLessEqual(len(dispatcher.candidates.subset(service)), SUBSET)
+        self.assertLessEqual(len(dispatcher.candidates.subset(service)), SUBSET_SIZE)
         return steps["call"] + steps["c_call"]
 
     async def test_it_does_not_grow_with_the_fleet(self):
--- a/caperstack/play/hosts.py
+++ b/caperstack/play/hosts.py
@@ -155,7 +155,9 @@
     def join(self, hosts, zone_seconds):
         """Know `hosts` and the ways to them."""
         members = self.kernel.find("members")
-        members.take_list(HostEntry(h.name, h.zone, REGION, h.service.name, NOWHERE) for h in hosts)
+        members.apply_host_list(
+            HostEntry(h.name, h.zone, REGION, h.service.name, NOWHERE) for h in hosts
+        )
         for host in hosts:
             member = members.find(host.name)
             if host is self:
--- a/caperstack/routing/dispatch.py
+++ b/caperstack/routing/dispatch.py
@@ -129,7 +129,7 @@
             if not attempts.left or not self._may_repeat(call, state, outcome):
                 return best
             failed.append(member)
-        return best or NotRun(self._members.lacks(call.service), NOBODY_SECONDS)
+        return best or NotRun(self._members.unavailable_reason(call.service), NOBODY_SECONDS)
 
     def _kept_away(self, call, best):
         """Return the outcome of a call whose request must not be sent."""
@@ -157,7 +157,7 @@
         """
         member = self.candidates.first_for(call)
         if member is None or not attempts.take():
-            return best or NotRun(self._members.lacks(call.service), NOBODY_SECONDS)
+            return best or NotRun(self._members.unavailable_reason(call.service), NOBODY_SECONDS)
         return _better(await self._attempt(call, member, state, True), best)
 
     def _may_repeat(self, call, state, outcome):
--- a/caperstack/settings/neighbours.py
+++ b/caperstack/settings/neighbours.py
@@ -16,7 +16,7 @@
 def ranked(hosts):
     """Return host names in an order that every node computes alike."""
     order = HostOrder(hosts)
-    return [order.at(place) for place in range(len(order))]
+    return [order.at(index) for index in range(len(order))]
 
 
 def is_reader(host, zone_hosts):
@@ -59,9 +59,9 @@
 
 
 def _parents(host, order, first_hosts):
-    rank = order.place(host)
+    rank = order.index(host)
     if rank < READERS:
-        yield from (order.at(place) for place in range(min(READERS, len(order))) if place != rank)
+        yield from (order.at(index) for index in range(min(READERS, len(order))) if index != rank)
         yield from sorted(first_hosts)
         return
     first = (rank - READERS) // FAN_OUT
@@ -69,7 +69,7 @@
     yield order.at(first)
     if second != first:
         yield order.at(second)
-    yield from (order.at(place) for place in range(rank) if place not in (first, second))
+    yield from (order.at(index) for index in range(rank) if index not in (first, second))
 
 
 class Topology:
@@ -98,7 +98,7 @@
     @property
     def reads(self):
         """Whether this node is a reader of its zone."""
-        return self._own.place(self._here.host) < READERS
+        return self._own.index(self._here.host) < READERS
 
     def parents(self):
         """Yield the hosts to dial for settings, the best first; see `parents_of`."""
@@ -112,8 +112,8 @@
     def next_of(self, hosts, count):
         """Return those of `hosts` that come next in that order, at most `count`."""
         size = len(self._ring)
-        own = self._ring.place(self._here.host)
-        return sorted(hosts, key=lambda host: (self._ring.place(host) - own) % size)[:count]
+        own = self._ring.index(self._here.host)
+        return sorted(hosts, key=lambda host: (self._ring.index(host) - own) % size)[:count]
 
     @property
     def rank(self):
@@ -125,7 +125,7 @@
         in different zones, so the next reader in order is not cut off with the
         first.
         """
-        own = self._own.place(self._here.host)
+        own = self._own.index(self._here.host)
         others = [(z, len(order)) for z, order in self._zones.items() if z != self._here.zone]
         earlier = sum(size > own and zone < self._here.zone for zone, size in others)
         return own + earlier + sum(min(size, own) for _, size in others)
