--- a/caperstack/membership/__init__.py
+++ b/caperstack/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who serves what, and who is leaving."""
+"""Fleet membership: which nodes serve which service, and which of them are draining."""
--- a/caperstack/membership/evacuation.py
+++ b/caperstack/membership/evacuation.py
@@ -1,22 +1,22 @@
-"""Zones that operators have evacuated: their backend servers get no new calls."""
+"""Evacuated zones, whose backend servers get no new calls."""
 
 __all__ = ["Evacuation"]
 
 
 class Evacuation:
-    """Keep the members and the owner in step with the evacuated zones in force.
+    """Apply the evacuated zones of the settings to the members and to the owner.
 
     Notes
     -----
     The list of zones is part of the settings, so it reaches every node and is
-    taken back as they are.  An entry chooses no member there; an owner there
-    refuses with proof, also the calls of entries that have not heard yet.  Calls
-    that run are left to end.
+    reverted in the same way.  An entry selects no member in an evacuated zone.
+    An owner there refuses new calls with proof that they did not run, which also
+    covers entries that have not received the change yet.  Running calls complete.
 
     Parameters
     ----------
     here : object
-        This node's ``zone``.
+        The settings of this node; its ``zone`` is read.
     """
 
     def __init__(self, here):
@@ -27,7 +27,7 @@
         self._events = None
 
     async def start(self, kernel):
-        """Follow the settings."""
+        """Apply the current settings and subscribe to changes."""
         self._settings = kernel.find("settings")
         self._members = kernel.find("members")
         self._owner = kernel.find("owner")
--- a/caperstack/membership/hostlist.py
+++ b/caperstack/membership/hostlist.py
@@ -1,4 +1,4 @@
-"""Read the platform's lagging host list."""
+"""Poll the platform's host list, which lags behind the actual hosts."""
 
 import asyncio
 import json
@@ -14,10 +14,10 @@
 
 __all__ = ["HostListReader", "parse_host_list"]
 
-#: Seconds between two readings in a small fleet; the list lags more than that.
+#: Interval between reads in a small fleet; the list itself lags by more than this.
 READ_INTERVAL_SECONDS = 1.0
 
-#: Readings a second that the whole fleet makes together, when it is large.
+#: Upper bound on the reads per second of all nodes of a large fleet together.
 FLEET_READS_PER_SECOND = 100
 
 REQUEST_TIMEOUT_SECONDS = 2.0
@@ -45,12 +45,21 @@
 
 
 def parse_host_list(body):
-    """Return the list of `HostEntry` in a host list's JSON `body`.
+    """Parse the JSON `body` of a host list.
+
+    Parameters
+    ----------
+    body : bytes or str
+        The JSON document.
+
+    Returns
+    -------
+    list of HostEntry
 
     Raises
     ------
     PlatformError
-        Naming the field.
+        If `body` is not a valid host list; ``peer`` names the invalid field.
     """
     try:
         listed = _HostList.model_validate(json.loads(body))
@@ -66,16 +75,22 @@
 
 
 class HostListReader:
-    """Read the host list and hand it to the members.
+    """Poll the host list and apply it to the members.
+
+    Parameters
+    ----------
+    address : str or None
+        Address of the service that publishes the host list; ``None`` disables
+        polling.
 
     Notes
     -----
-    A large fleet reads more rarely, so that all nodes together stay at a fixed
-    rate, and asks for the body only if it changed: at 1,100 hosts the list is
-    some 150 kB, thirty times what a node may spend a second.
+    In a large fleet each node polls less often, so that the total rate is bounded,
+    and fetches the body only if it changed (``If-None-Match``): at 1,100 hosts the
+    list is about 150 kB, thirty times the bytes that a node may spend per second.
 
-    An unreadable list changes nothing: the last one stays, and what peers
-    show by answering or not is stronger than any list.
+    If the list cannot be read, the last one stays in force.  Whether a peer
+    answers takes precedence over any list.
     """
 
     def __init__(self, address):
@@ -85,7 +100,7 @@
         self._tag = ""
 
     async def start(self, kernel):
-        """Read once, so that the first call finds its members, and go on reading."""
+        """Read the list once, so that the first call finds its members, then poll it."""
         self._members = kernel.find("members")
         self._events = kernel.find("events")
         self._metrics = kernel.find("metrics")
@@ -96,14 +111,14 @@
         self._task = asyncio.create_task(self._read_periodically(client))
 
     async def stop(self):
-        """Stop reading."""
+        """Stop polling."""
         if self._task is not None:
             self._task.cancel()
 
     async def _read_periodically(self, client):
         while True:
-            pace = max(READ_INTERVAL_SECONDS, len(self._members) / FLEET_READS_PER_SECOND)
-            await asyncio.sleep(pace * random.uniform(0.8, 1.2))
+            interval = max(READ_INTERVAL_SECONDS, len(self._members) / FLEET_READS_PER_SECOND)
+            await asyncio.sleep(interval * random.uniform(0.8, 1.2))
             await self._try_to_read(client)
 
     async def _try_to_read(self, client):
--- a/caperstack/membership/members.py
+++ b/caperstack/membership/members.py
@@ -1,4 +1,8 @@
-"""Who serves what: the host list, own exchanges and peers' words, by strength."""
+"""Membership: merges the host list, the node's own exchanges and peers' messages.
+
+What a node learns from its own exchanges and from peers takes precedence over the
+host list, which lags.
+"""
 
 from dataclasses import dataclass, field
 
@@ -10,12 +14,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """One line of the platform's host list.
+    """One entry of the platform's host list.
 
     Attributes
     ----------
+    leaving : bool
+        Whether the list marks the host as leaving.
     instance : str
-        Tells the starts of its backend server apart; empty if the list does not.
+        Identifies one run of the backend server; changes when the server restarts.
+        Empty if the list does not give it.
     """
 
     host: str
@@ -29,16 +36,23 @@
 
 @dataclass(slots=True)
 class Member:
-    """A node and the backend server beside it, as this node believes.
+    """A node and its backend server, as known to this node.
 
     Attributes
     ----------
     incarnation : int
-        The start of the node that was last spoken to; 0 if never.
+        Identifies one start of the node, as of the last exchange with it; later starts
+        have higher values.  0 if there was no exchange.
     leaving_incarnation : int
-        The latest incarnation that is known to leave; -1 if none.
+        The latest incarnation that announced that it is leaving; -1 if none.
+    listed_leaving : bool
+        Whether the host list marks the host as leaving.
+    instance : str
+        Identifies one run of the backend server; empty if unknown.
     owner : object
-        The way to its owner: a local one or a link.
+        Sends calls to the member's owner: the local owner or a link to a peer.
+    estimate : Estimate
+        This node's estimate of the backend server's load, latency and failures.
     """
 
     host: str
@@ -55,15 +69,15 @@
 
     @property
     def leaving(self):
-        """Whether no new work may go there.
+        """Whether the member is leaving or drains and must get no new calls.
 
         Notes
         -----
-        Failure: the host list lags, and an old copy shows a leaving host as
-        live; new work would go to a server about to stop.  A leaving mark
-        holds for its incarnation, and only a newer incarnation lifts it.  A
-        backend server that drains while its node stays may come back; there
-        the owner's last word counts.
+        The host list lags, so it may still show a leaving host as live; new calls
+        would go to a server that is about to stop.  Therefore an announcement to
+        leave holds for its incarnation until a newer incarnation is seen.  A
+        backend server that drains while its node keeps running may return to
+        service; there the latest state reported by the owner decides.
         """
         drains = self.estimate.state in (ServerState.LEAVING, ServerState.EVACUATED)
         return drains or self.listed_leaving or self.leaving_incarnation >= max(self.incarnation, 0)
@@ -72,10 +86,15 @@
 class Members:
     """The members that this node knows, by host and by service.
 
+    Parameters
+    ----------
+    here : object
+        The start settings of this node.
+
     Attributes
     ----------
     version : int
-        Rises with each member that comes or goes.
+        Incremented whenever a member is added, removed or changes its service.
     evacuated : frozenset of str
         The zones whose backend servers get no new calls.
     """
@@ -101,7 +120,7 @@
         return self._here
 
     async def start(self, kernel):
-        """Take in the hosts of the start settings."""
+        """Add this node and the peers of the start settings."""
         self._events = kernel.find("events")
         self.apply_host_list(self._seeds(), complete=False)
 
@@ -115,16 +134,17 @@
             yield HostEntry(seed.host, seed.zone, seed.region, seed.service, seed.peer_address)
 
     def listen(self, listener):
-        """Call ``listener(member, gone)`` for each member that comes or goes.
+        """Call ``listener(member, gone)`` whenever a member is added or removed.
 
-        One that changes its service goes and comes.
+        It is called at once for each present member.  A member that changes its
+        service is reported as removed and then as added.
         """
         self._listeners.append(listener)
         for member in self._hosts.values():
             listener(member, False)
 
     def of_service(self, service):
-        """Return the list of members that serve `service`."""
+        """Return the list of members of `service`."""
         return self._services.get(service, [])
 
     def __len__(self):
@@ -135,7 +155,7 @@
         return [m for m in members if not m.leaving and m.zone not in self.evacuated]
 
     def unavailable_reason(self, service):
-        """Return why a call of `service` has no server to go to, for the log and the caller."""
+        """Return why no member of `service` can get a call, for the log and the caller."""
         members = self.of_service(service)
         if not members:
             return "no backend server known"
@@ -144,7 +164,7 @@
         return "every backend server is leaving"
 
     def find(self, host):
-        """Return the member of that host name, or ``None``."""
+        """Return the member with the host name `host`, or ``None``."""
         return self._hosts.get(host)
 
     def all(self):
@@ -152,15 +172,16 @@
         return list(self._hosts.values())
 
     def apply_host_list(self, entries, complete=True):
-        """Take over a host list.
+        """Add, update and remove members according to a host list.
 
         Parameters
         ----------
         entries : iterable of HostEntry
             The hosts.
         complete : bool
-            Whether hosts that are missing are gone.  Only hosts that the list
-            once had are dropped: seeds and peers that came by themselves stay.
+            Whether to remove members that are missing from `entries`.  Only hosts
+            that an earlier list contained are removed: hosts of the start settings
+            and peers that connected by themselves stay.
         """
         names = set()
         for entry in entries:
@@ -172,22 +193,22 @@
             self._listed = names
 
     def put(self, entry):
-        """Take over one `HostEntry` of the list, as `apply_host_list` does all."""
+        """Add or update the member of one `HostEntry`; see `apply_host_list`."""
         self._listed.add(entry.host)
         self._apply_entry(entry)
 
     def remove(self, host):
-        """The list does not hold `host` any more, if it did."""
+        """Remove `host` if the host list contained it."""
         if host in self._listed:
             self._listed.discard(host)
             self._drop(host)
 
     def _apply_entry(self, entry):
         member = self._hosts.get(entry.host)
-        mine = entry.host == self._here.host
+        is_local = entry.host == self._here.host
         if (
             member is not None
-            and not mine
+            and not is_local
             and (member.peer_address, member.service)
             != (
                 entry.peer_address,
@@ -196,7 +217,7 @@
         ):
             self._drop(entry.host)
             member = None
-        if member is not None and mine and member.service != entry.service:
+        if member is not None and is_local and member.service != entry.service:
             self._change_service(member, entry.service)
         if member is None:
             member = Member(entry.host, entry.zone, entry.region, entry.service, entry.peer_address)
@@ -212,14 +233,14 @@
             self._events.state("listed as leaving", not entry.leaving, entry.leaving, entry.host)
 
     def _restart(self, member, instance):
-        """Another backend server, or another start of it, is at that host."""
+        """Reset the estimate: the host runs another backend server, or it restarted."""
         if member.instance:
             self._events.state("instance", member.instance, instance, member.host)
             member.estimate.restart()
         member.instance = instance
 
     def _change_service(self, member, service):
-        # The backend server beside this node is now one of another service.
+        # The backend server of this node now belongs to another service.
         self._events.state("service", member.service, service, member.host)
         self._services[member.service].remove(member)
         self._notify(member, True)
@@ -242,7 +263,7 @@
             listener(member, gone)
 
     def mark_leaving(self, host, incarnation):
-        """Note that `incarnation` of `host` is leaving; return whether that is news."""
+        """Record that `incarnation` of `host` is leaving; return whether that is new."""
         member = self._hosts.get(host)
         if member is None or incarnation <= member.leaving_incarnation:
             return False
--- a/caperstack/membership/order.py
+++ b/caperstack/membership/order.py
@@ -1,4 +1,4 @@
-"""Hosts in an order by hash that nodes compute alike, kept up as hosts come and go."""
+"""Hosts in hash order, which all nodes compute alike, updated incrementally."""
 
 from bisect import bisect_left, insort
 
@@ -8,25 +8,25 @@
 
 
 def hash_number(text):
-    """Return the number by which `text` is ranked."""
+    """Return the 64-bit hash of `text`, by which it is ranked."""
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
 class HostOrder:
-    """Host names ranked by a number, kept up by bisection.
+    """Host names sorted by a number, updated by bisection.
 
     Parameters
     ----------
     hosts : iterable of str
-        The first ones.
+        The initial hosts.
     number : callable
-        ``number(host)`` ranks a host.
+        ``number(host)`` returns the sort key of a host.
 
     Notes
     -----
-    Failure: orders are sorted anew for each host that comes or goes.  A release
-    that replaces each of n backend servers makes every node sort n hosts n
-    times.  By bisection a change costs an insertion or a removal.
+    Sorting again for each change would make every node sort n hosts n times during
+    a release that replaces each of n backend servers.  With bisection a change
+    costs one insertion or one removal.
     """
 
     def __init__(self, hosts=(), number=hash_number):
@@ -41,23 +41,23 @@
         insort(self._entries, (self._number(host), host))
 
     def remove(self, host):
-        """Take a host out."""
+        """Remove a host."""
         del self._entries[self.index(host)]
 
     def index(self, host):
-        """Return the place of a host, 0 for the first."""
+        """Return the position of `host`, 0 for the first."""
         return bisect_left(self._entries, (self._number(host), host))
 
     def at(self, index):
-        """Return the host at a place."""
+        """Return the host at position `index`."""
         return self._entries[index][1]
 
     def entries(self, first, end):
-        """Return ``(number, host)`` of the places from `first` to before `end`."""
+        """Return ``(number, host)`` of the positions from `first` up to, not including, `end`."""
         return self._entries[first:end]
 
     def after(self, host):
-        """Yield all other hosts, the one after `host` first, round to the one before it."""
+        """Yield all other hosts in circular order, starting after `host`."""
         index = self.index(host)
         for step in range(1, len(self._entries)):
             yield self.at((index + step) % len(self._entries))
--- a/caperstack/membership/subset.py
+++ b/caperstack/membership/subset.py
@@ -1,28 +1,29 @@
-"""The bounded subset of a large service that one entry keeps links to."""
+"""Deterministic subsetting: the bounded number of members of a service that an entry calls."""
 
 from caperstack.membership.order import HostOrder, hash_number
 
 __all__ = ["SUBSET_SIZE", "Subset", "subset_of"]
 
-#: Members of one service that an entry calls; half of them in its own zone.
-#: Each hears of its members' loads as they change, so what the fleet sends
-#: grows with this: at 73 hosts and 24 members every owner told 72 peers. With
-#: eight, one in four slowed by a neighbour, the chance that all are is 1 in 65,000.
+#: Maximum number of members of one service that an entry calls; half of them in its
+#: own zone.  Owners send load updates to the entries that call them, so the traffic
+#: of the fleet grows with this number: with 24 members at 73 hosts every owner sent
+#: updates to 72 peers.  With 8 members, each slowed by a noisy neighbour with
+#: probability 1/4, all of them are slow with probability 1 in 65,000.
 SUBSET_SIZE = 8
 
 
 class Subset:
-    """The members of one service that an entry calls, kept up as members come and go.
+    """The members of one service that an entry calls, updated incrementally.
 
     Parameters
     ----------
     here : object
-        The entry's ``host`` and ``zone``.
+        The entry; its ``host`` and ``zone`` are read.
 
     Notes
     -----
-    Each entry ranks the members by a hash of both names, so that subsets of
-    different entries differ and all members get the same share of entries.
+    Each entry ranks the members by a hash of both host names, so that entries have
+    different subsets and each member is in about equally many of them.
     """
 
     def __init__(self, here):
@@ -44,7 +45,7 @@
         self._chosen = None
 
     def remove(self, member):
-        """Take a member out."""
+        """Remove a member."""
         del self._members[member.host]
         order = self._zones[member.zone]
         order.remove(member.host)
@@ -53,14 +54,14 @@
         self._chosen = None
 
     def exclude(self, zones):
-        """Choose none of the members in `zones` from now on."""
+        """Exclude the members in `zones` from the subset."""
         if zones != self._excluded:
             self._excluded = zones
             self._chosen = None
 
     @property
     def members(self):
-        """At most `SUBSET_SIZE` members, half of them near, the others spread over zones."""
+        """At most `SUBSET_SIZE` members, half in the entry's zone, the rest spread over zones."""
         if self._chosen is None:
             self._chosen = [self._members[host] for host in self._choose()]
         return self._chosen
@@ -86,13 +87,13 @@
 
 
 def _round_robin(orders, count):
-    """Return the first `count` of several orders, in which orders take turns."""
+    """Return the first `count` entries of `orders`, taken from them in turn."""
     chosen = []
-    place = 0
+    position = 0
     while len(chosen) < count:
-        turn = sorted(entry for order in orders for entry in order.entries(place, place + 1))
-        if not turn:
+        batch = sorted(entry for order in orders for entry in order.entries(position, position + 1))
+        if not batch:
             break
-        chosen += turn
-        place += 1
+        chosen += batch
+        position += 1
     return chosen[:count]
--- a/caperstack/membership/tests/test_members.py
+++ b/caperstack/membership/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Members: marks that stale news does not undo, and subsets of large services."""
+"""Tests of membership with a stale host list, and of subsets of large services."""
 
 import asyncio
 import unittest
@@ -36,9 +36,9 @@
     """`Members`."""
 
     def test_stale_list_does_not_undo_a_leaving_mark(self):
-        # A node has said that it stops; the platform's list, a minute old,
-        # still shows it live.  No new work may go there until it has started
-        # again, which a newer incarnation shows.
+        # A node has announced that it is leaving while the platform's list, a
+        # minute old, still shows it live.  It gets no new calls until a newer
+        # incarnation shows that it restarted.
         members = make_members()
         members.apply_host_list([entry("x")])
         member = members.find("x")
@@ -51,8 +51,8 @@
         self.assertFalse(member.leaving)
 
     def test_new_start_of_a_backend_server_begins_with_a_clean_slate(self):
-        # A backend server failed until it was ejected, drained, and starts
-        # again under its name.  Own calls that are still out stay counted.
+        # A backend server failed until it was ejected, drained, and restarted under
+        # the same name.  Calls of this node that are in flight stay counted.
         members = make_members()
         members.apply_host_list([entry("x", instance="i@1", leaving=True)])
         member = members.find("x")
