--- a/caperstack/idempotency/claims.py
+++ b/caperstack/idempotency/claims.py
@@ -9,7 +9,7 @@
 from caperstack.exception import PeerError
 from caperstack.idempotency.keeper import (
     Verdict,
-    born_microseconds,
+    creation_microseconds,
     fingerprint,
     keepers_of,
     majority,
@@ -19,7 +19,7 @@
 __all__ = ["KeyClaims"]
 
 #: How long keepers have to answer, in seconds, within the call's deadline.
-CLAIM_SECONDS = 0.5
+CLAIM_TIMEOUT_SECONDS = 0.5
 
 HOLDER_BITS = 62
 
@@ -29,11 +29,11 @@
     Verdict.OTHER_REQUEST: NotRun("this key belongs to another request", status=422),
 }
 
-_CANNOT_VOUCH = Unknown("no majority of keepers can vouch for this key", 503)
+_NO_MAJORITY = Unknown("no majority of keepers can vouch for this key", 503)
 
 
 @dataclass(slots=True)
-class _Held:
+class _GrantedClaim:
     """A claim that was granted."""
 
     service: str
@@ -68,20 +68,20 @@
         """
         hosts = [member.host for member in self._members.of_service(call.service)]
         keepers = keepers_of(call.key, hosts)
-        held = _Held(call.service, call.key, secrets.randbits(HOLDER_BITS), keepers)
-        replies = await self._ask_all(call, held)
-        if keepers and len(_grants(replies)) >= majority(len(keepers)):
+        held = _GrantedClaim(call.service, call.key, secrets.randbits(HOLDER_BITS), keepers)
+        replies = await self._claim_at_keepers(call, held)
+        if keepers and len(_vouched_grants(replies)) >= majority(len(keepers)):
             return held, None
         # A call that will not run must not stand in the way of the next one.
-        self._tell(held, ran=False)
+        self._settle_at_keepers(held, ran=False)
         return None, self._refusal(replies)
 
     def settle(self, held, outcome):
         """Tell the keepers how the call ended."""
         if isinstance(outcome, NotRun):
-            self._tell(held, ran=False)
+            self._settle_at_keepers(held, ran=False)
         elif isinstance(outcome, Answered):
-            self._tell(held, ran=True)
+            self._settle_at_keepers(held, ran=True)
 
     def _refusal(self, replies):
         verdicts = {Verdict(reply.verdict) for reply in replies}
@@ -89,13 +89,13 @@
         for verdict in (Verdict.OTHER_REQUEST, Verdict.RAN, Verdict.RUNNING):
             if verdict in verdicts:
                 return _REFUSALS[verdict]
-        return _CANNOT_VOUCH
+        return _NO_MAJORITY
 
-    async def _ask_all(self, call, held):
+    async def _claim_at_keepers(self, call, held):
         window = self._settings.service(call.service).key_window_seconds
         print_of_call = fingerprint(call.method, call.target, call.body)
-        born = born_microseconds(call.key)
-        deadline = min(call.deadline, deadline_after(CLAIM_SECONDS))
+        born = creation_microseconds(call.key)
+        deadline = min(call.deadline, deadline_after(CLAIM_TIMEOUT_SECONDS))
         claims = [
             Claim(
                 0,
@@ -110,12 +110,12 @@
             for _ in held.keepers
         ]
         questions = [
-            asyncio.create_task(self._ask(host, claim, deadline))
+            asyncio.create_task(self._claim_at(host, claim, deadline))
             for host, claim in zip(held.keepers, claims, strict=True)
         ]
-        return await _enough(questions)
+        return await _until_majority(questions)
 
-    async def _ask(self, host, claim, deadline):
+    async def _claim_at(self, host, claim, deadline):
         if host == self._here.host:
             return Claimed(0, *self._keeper.claim(claim), 0)
         member = self._members.find(host)
@@ -127,7 +127,7 @@
             self._metrics.count("keepers_silent")
             return None
 
-    def _tell(self, held, ran):
+    def _settle_at_keepers(self, held, ran):
         message = Settle(held.service, held.key, held.holder, ran)
         for host in held.keepers:
             member = self._members.find(host)
@@ -137,11 +137,11 @@
                 member.owner.tell(message)
 
 
-def _grants(replies):
+def _vouched_grants(replies):
     return [r for r in replies if r.verdict == Verdict.GRANTED and r.vouches]
 
 
-async def _enough(questions):
+async def _until_majority(questions):
     """Return the replies as soon as a majority grants, or when all are in.
 
     Notes
@@ -155,6 +155,6 @@
         reply = await question
         if reply is not None:
             replies.append(reply)
-        if len(_grants(replies)) >= majority(len(questions)):
+        if len(_vouched_grants(replies)) >= majority(len(questions)):
             break
     return replies
--- a/caperstack/idempotency/keeper.py
+++ b/caperstack/idempotency/keeper.py
@@ -11,27 +11,27 @@
 from caperstack.clock import deadline_after, now, wall_microseconds
 
 __all__ = [
-    "KEEPERS",
+    "KEEPERS_PER_KEY",
     "Keeper",
     "Verdict",
-    "born_microseconds",
+    "creation_microseconds",
     "fingerprint",
     "keepers_of",
     "majority",
 ]
 
 #: Keepers of one key; a majority of them must grant it.
-KEEPERS = 3
+KEEPERS_PER_KEY = 3
 
 #: Keys that one keeper remembers; a further one is not granted.
-RECORDS_MOST = 200_000
+MAX_RECORDS = 200_000
 
 #: How much longer an unsettled claim is kept than the window, in seconds: the
 #: longest deadline that a route may have.
-LONGEST_CALL = 300.0
+MAX_CALL_SECONDS = 300.0
 
 #: How far the clocks of callers and hosts may be apart, in seconds.
-CLOCK_ERROR = 2.0
+MAX_CLOCK_SKEW_SECONDS = 2.0
 
 
 class Verdict(IntEnum):
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class _View:
+class _MembershipView:
     since: float
     hosts: dict
 
@@ -73,10 +73,10 @@
        Rates", IEEE/ACM Transactions on Networking 6(1), 1998.
     """
     ranked = sorted(hosts, key=lambda host: xxhash.xxh3_64_intdigest(f"{key}\0{host}".encode()))
-    return ranked[:KEEPERS]
+    return ranked[:KEEPERS_PER_KEY]
 
 
-def born_microseconds(key):
+def creation_microseconds(key):
     """Return when a UUID version 7 was made, in microseconds; 0 for other keys.
 
     References
@@ -148,13 +148,13 @@
         name = (message.service, message.key)
         record = self._records.get(name)
         if record is None:
-            if len(self._records) >= RECORDS_MOST:
+            if len(self._records) >= MAX_RECORDS:
                 return Verdict.FULL
             self._records[name] = _Record(
                 message.holder,
                 message.fingerprint,
                 False,
-                deadline_after(window + LONGEST_CALL),
+                deadline_after(window + MAX_CALL_SECONDS),
                 window,
             )
             return Verdict.GRANTED
@@ -186,16 +186,16 @@
 
     # -- vouching ---------------------------------------------------------
 
-    def _first_use(self, message, window):
+    def _earliest_first_use(self, message, window):
         """Return the earliest point at which the key can have been used, or ``None``."""
         if not message.born_us:
             return now() - window
-        age = (wall_microseconds() - message.born_us) / 1e6 + CLOCK_ERROR
+        age = (wall_microseconds() - message.born_us) / 1e6 + MAX_CLOCK_SKEW_SECONDS
         # Older than what is remembered: a first use may be forgotten already.
         return None if age > window else now() - age
 
     def _vouches(self, message, window):
-        first_use = self._first_use(message, window)
+        first_use = self._earliest_first_use(message, window)
         if first_use is None or self._started > first_use:
             return False
         current = set(keepers_of(message.key, self._hosts(message.service)))
@@ -220,7 +220,7 @@
 
     def _on_member(self, member, gone):
         views = self._views.setdefault(member.service, [])
-        views.append(_View(now(), self._hosts(member.service)))
+        views.append(_MembershipView(now(), self._hosts(member.service)))
         oldest = now() - 86_400
         while len(views) > 1 and views[1].since < oldest:
             views.pop(0)
--- a/caperstack/idempotency/tests/test_keeper.py
+++ b/caperstack/idempotency/tests/test_keeper.py
@@ -14,7 +14,7 @@
 from caperstack.idempotency.keeper import (
     Keeper,
     Verdict,
-    born_microseconds,
+    creation_microseconds,
     keepers_of,
     majority,
 )
@@ -51,11 +51,11 @@
         pass
 
 
-class World:
+class Cluster:
     """A few keepers under one settable clock; entries claim at all of them."""
 
     def __init__(self, names):
-        self.moment = 1000.0
+        self.current_time = 1000.0
         self.members = {}
         self.keepers = {}
         self.names = list(names)
@@ -103,19 +103,19 @@
     """A key runs once within its window."""
 
     def setUp(self):
-        self.world = SimpleNamespace(moment=1000.0)
+        self.cluster = SimpleNamespace(current_time=1000.0)
         patch = mock.patch.multiple(
             module,
-            now=lambda: self.world.moment,
-            deadline_after=lambda seconds: self.world.moment + seconds,
+            now=lambda: self.cluster.current_time,
+            deadline_after=lambda seconds: self.cluster.current_time + seconds,
         )
         patch.start()
         self.addCleanup(patch.stop)
 
     def build(self, count):
-        self.world.moment = 1000.0
-        self.world = World([f"h{i}" for i in range(count)])
-        self.world.moment += WINDOW + MARGIN
+        self.cluster.current_time = 1000.0
+        self.cluster = Cluster([f"h{i}" for i in range(count)])
+        self.cluster.current_time += WINDOW + MARGIN
 
     @settings(max_examples=300, deadline=None)
     @given(st.integers(1, 5), st.lists(step(), min_size=2, max_size=14))
@@ -128,65 +128,67 @@
         for number, (kind, what) in enumerate(steps):
             if kind == "claim":
                 unreachable = {f"h{i}" for i in what}
-                if self.world.claim("key", number, unreachable):
-                    recent = granted_at is not None and (self.world.moment - granted_at < WINDOW)
+                if self.cluster.claim("key", number, unreachable):
+                    recent = granted_at is not None and (
+                        self.cluster.current_time - granted_at < WINDOW
+                    )
                     self.assertFalse(recent)
-                    granted_at = self.world.moment
+                    granted_at = self.cluster.current_time
             elif kind == "wait":
-                self.world.moment += what
+                self.cluster.current_time += what
             else:
-                name = sorted(self.world.names)[what % len(self.world.names)]
+                name = sorted(self.cluster.names)[what % len(self.cluster.names)]
                 if kind == "restart":
-                    self.world.start(name)
+                    self.cluster.start(name)
                 else:
-                    self.world.replace(name, f"new{number}")
+                    self.cluster.replace(name, f"new{number}")
 
-    def test_one_dead_keeper_of_three_does_not_stop_bookings(self):
+    def test_one_unreachable_keeper_of_three_does_not_block_claims(self):
         self.build(3)
-        self.assertTrue(self.world.claim("key", 1, unreachable={"h1"}))
-        self.assertFalse(self.world.claim("key", 2))
+        self.assertTrue(self.cluster.claim("key", 1, unreachable={"h1"}))
+        self.assertFalse(self.cluster.claim("key", 2))
 
-    def test_young_keepers_vouch_for_younger_keys_only(self):
+    def test_restarted_keepers_vouch_only_for_keys_created_later(self):
         # Right after all nodes restarted, an opaque key may have run before:
         # nobody can vouch for it.  A UUID version 7 tells that it is new.
         self.build(3)
-        for name in list(self.world.names):
-            self.world.start(name)
-        self.world.moment += MARGIN
-        self.assertFalse(self.world.claim("opaque", 1))
+        for name in list(self.cluster.names):
+            self.cluster.start(name)
+        self.cluster.current_time += MARGIN
+        self.assertFalse(self.cluster.claim("opaque", 1))
         with mock.patch.object(module, "wall_microseconds", lambda: 10**15):
-            self.assertTrue(self.world.claim("young", 1, born_us=10**15))
+            self.assertTrue(self.cluster.claim("young", 1, born_us=10**15))
             old = 10**15 - int((WINDOW + MARGIN) * 1e6)
-            self.assertFalse(self.world.claim("old", 1, born_us=old))
+            self.assertFalse(self.cluster.claim("old", 1, born_us=old))
 
     def test_proof_of_not_run_frees_the_key(self):
         self.build(3)
-        self.assertTrue(self.world.claim("key", 1))
-        for keeper in self.world.keepers.values():
+        self.assertTrue(self.cluster.claim("key", 1))
+        for keeper in self.cluster.keepers.values():
             keeper.settle(Settle("s", "key", 2, False))
-        self.assertFalse(self.world.claim("key", 3))
-        for keeper in self.world.keepers.values():
+        self.assertFalse(self.cluster.claim("key", 3))
+        for keeper in self.cluster.keepers.values():
             keeper.settle(Settle("s", "key", 1, False))
-        self.assertTrue(self.world.claim("key", 3))
+        self.assertTrue(self.cluster.claim("key", 3))
 
     def test_memory_is_bounded(self):
         self.build(1)
-        with mock.patch.object(module, "RECORDS_MOST", 5):
-            granted = [self.world.claim(f"key{i}", i) for i in range(8)]
+        with mock.patch.object(module, "MAX_RECORDS", 5):
+            granted = [self.cluster.claim(f"key{i}", i) for i in range(8)]
         self.assertEqual(granted, [True] * 5 + [False] * 3)
-        self.world.moment += WINDOW + module.LONGEST_CALL + 1
-        self.assertTrue(self.world.claim("later", 9))
-        self.assertEqual(len(self.world.keepers["h0"]), 1)
+        self.cluster.current_time += WINDOW + module.MAX_CALL_SECONDS + 1
+        self.assertTrue(self.cluster.claim("later", 9))
+        self.assertEqual(len(self.cluster.keepers["h0"]), 1)
 
 
 class TestKeys(unittest.TestCase):
     """Reading a key's birth."""
 
-    def test_version_seven_tells_its_birth(self):
+    def test_uuid_version_7_gives_its_creation_time(self):
         with mock.patch("time.time_ns", lambda: 1_700_000_000_123 * 10**6):
             key = new_key(random.Random(1))
-        self.assertEqual(born_microseconds(key), 1_700_000_000_123_000)
+        self.assertEqual(creation_microseconds(key), 1_700_000_000_123_000)
 
     def test_other_keys_are_opaque(self):
         for key in ("abc", str(uuid.UUID(int=5)), ""):
-            self.assertEqual(born_microseconds(key), 0)
+            self.assertEqual(creation_microseconds(key), 0)
--- a/caperstack/membership/tests/test_members.py
+++ b/caperstack/membership/tests/test_members.py
@@ -35,7 +35,7 @@
 class TestMembers(unittest.TestCase):
     """`Members`."""
 
-    def test_stale_list_does_not_undo_a_leaving_mark(self):
+    def test_stale_host_list_does_not_undo_an_announcement_to_leave(self):
         # A node has announced that it is leaving while the platform's list, a
         # minute old, still shows it live.  It gets no new calls until a newer
         # incarnation shows that it restarted.
@@ -50,7 +50,7 @@
         member.incarnation = 6
         self.assertFalse(member.leaving)
 
-    def test_new_start_of_a_backend_server_begins_with_a_clean_slate(self):
+    def test_restart_of_a_backend_server_resets_its_estimate(self):
         # A backend server failed until it was ejected, drained, and restarted under
         # the same name.  Calls of this node that are in flight stay counted.
         members = make_members()
@@ -67,7 +67,7 @@
         self.assertFalse(member.estimate.ejected)
         self.assertEqual((member.estimate.failing, member.estimate.in_flight), (0.0, 1))
 
-    def test_drain_of_a_backend_server_may_end(self):
+    def test_drained_backend_server_can_return_to_service(self):
         members = make_members()
         members.apply_host_list([entry("x")])
         estimate = members.find("x").estimate
@@ -76,7 +76,7 @@
         estimate.take_load(Load(state=ServerState.WARM))
         self.assertFalse(members.find("x").leaving)
 
-    def test_a_list_without_this_node_keeps_it(self):
+    def test_host_list_without_this_node_does_not_remove_it(self):
         members = make_members()
         members.apply_host_list([entry("x")])
         members.apply_host_list([])
@@ -101,11 +101,11 @@
 class TestSubset(unittest.TestCase):
     """`subset_of`."""
 
-    def test_small_services_are_taken_whole(self):
+    def test_subset_of_a_small_service_is_the_whole_service(self):
         members = [entry(f"m{i}") for i in range(SUBSET_SIZE)]
         self.assertEqual(subset_of(members, entry("me")), members)
 
-    def test_large_services_are_shared_out_evenly(self):
+    def test_members_of_a_large_service_are_in_similarly_many_subsets(self):
         members = [entry(f"m{i}", zone="abc"[i % 3]) for i in range(120)]
         shares = Counter()
         for number in range(300):
