--- a/caperstack/idempotency/__init__.py
+++ b/caperstack/idempotency/__init__.py
@@ -1,1 +1,1 @@
-"""Idempotency keys: their keepers and their claims."""
+"""Idempotency keys: claims of entries, and the keepers that record them."""
--- a/caperstack/idempotency/claims.py
+++ b/caperstack/idempotency/claims.py
@@ -1,4 +1,4 @@
-"""The entry's side of idempotency keys: claim before the first dispatch, settle after."""
+"""The entry's side of idempotency keys: claim before the first dispatch, settle afterwards."""
 
 import asyncio
 import secrets
@@ -18,9 +18,10 @@
 
 __all__ = ["KeyClaims"]
 
-#: How long keepers have to answer, in seconds, within the call's deadline.
+#: Time that keepers have to answer a claim; the call's deadline may shorten it.
 CLAIM_TIMEOUT_SECONDS = 0.5
 
+#: Size of the random number that identifies one claim of a key.
 HOLDER_BITS = 62
 
 _REFUSALS = {
@@ -34,7 +35,15 @@
 
 @dataclass(slots=True)
 class _GrantedClaim:
-    """A claim that was granted."""
+    """A claim at the keepers of a key, and how to settle it.
+
+    Attributes
+    ----------
+    holder : int
+        Random number that identifies this claim at the keepers.
+    keepers : list of str
+        The hosts of the keepers.
+    """
 
     service: str
     key: str
@@ -43,13 +52,19 @@
 
 
 class KeyClaims:
-    """Claims idempotency keys at their keepers."""
+    """Claim idempotency keys at their keepers and settle the claims.
+
+    Parameters
+    ----------
+    here : object
+        The settings of this node; its ``host`` is read.
+    """
 
     def __init__(self, here):
         self._here = here
 
     async def start(self, kernel):
-        """Find the services that this one needs."""
+        """Look up the services that this one uses."""
         self._members = kernel.find("members")
         self._settings = kernel.find("settings")
         self._keeper = kernel.find("keeper")
@@ -64,7 +79,8 @@
         Returns
         -------
         held, refusal : _Held or None, Outcome or None
-            Exactly one of them is set.  Settle what is held.
+            Exactly one of them is set.  The caller of this method must pass `held`
+            to `settle` when the call has ended.
         """
         hosts = [member.host for member in self._members.of_service(call.service)]
         keepers = keepers_of(call.key, hosts)
@@ -72,12 +88,15 @@
         replies = await self._claim_at_keepers(call, held)
         if keepers and len(_vouched_grants(replies)) >= majority(len(keepers)):
             return held, None
-        # A call that will not run must not stand in the way of the next one.
+        # The call does not run, so its partial claim must not block a later one.
         self._settle_at_keepers(held, ran=False)
         return None, self._refusal(replies)
 
     def settle(self, held, outcome):
-        """Tell the keepers how the call ended."""
+        """Report the outcome of the call to the keepers.
+
+        An unknown outcome is not reported: the claim then stays until it expires.
+        """
         if isinstance(outcome, NotRun):
             self._settle_at_keepers(held, ran=False)
         elif isinstance(outcome, Answered):
@@ -93,8 +112,8 @@
 
     async def _claim_at_keepers(self, call, held):
         window = self._settings.service(call.service).key_window_seconds
-        print_of_call = fingerprint(call.method, call.target, call.body)
-        born = creation_microseconds(call.key)
+        request_fingerprint = fingerprint(call.method, call.target, call.body)
+        created = creation_microseconds(call.key)
         deadline = min(call.deadline, deadline_after(CLAIM_TIMEOUT_SECONDS))
         claims = [
             Claim(
@@ -103,17 +122,17 @@
                 held.key,
                 held.keepers,
                 held.holder,
-                print_of_call,
-                born,
+                request_fingerprint,
+                created,
                 int(window * 1e6),
             )
             for _ in held.keepers
         ]
-        questions = [
+        requests = [
             asyncio.create_task(self._claim_at(host, claim, deadline))
             for host, claim in zip(held.keepers, claims, strict=True)
         ]
-        return await _until_majority(questions)
+        return await _until_majority(requests)
 
     async def _claim_at(self, host, claim, deadline):
         if host == self._here.host:
@@ -141,20 +160,20 @@
     return [r for r in replies if r.verdict == Verdict.GRANTED and r.vouches]
 
 
-async def _until_majority(questions):
-    """Return the replies as soon as a majority grants, or when all are in.
+async def _until_majority(requests):
+    """Return the replies received once a majority grants, or else all replies.
 
     Notes
     -----
-    Failure: a keeper has just died and each claim waits for it in vain, so
-    that bookings take half a second longer.  Two grants of three decide; the
-    third question goes on by itself, so that its keeper has the record too.
+    Waiting for all keepers would add half a second (`CLAIM_TIMEOUT_SECONDS`) to
+    each claim while one of them is down.  Two grants of three decide; the request
+    to the third keeper is not cancelled, so that it records the claim too.
     """
     replies = []
-    for question in asyncio.as_completed(questions):
-        reply = await question
+    for request in asyncio.as_completed(requests):
+        reply = await request
         if reply is not None:
             replies.append(reply)
-        if len(_vouched_grants(replies)) >= majority(len(questions)):
+        if len(_vouched_grants(replies)) >= majority(len(requests)):
             break
     return replies
--- a/caperstack/idempotency/keeper.py
+++ b/caperstack/idempotency/keeper.py
@@ -1,4 +1,8 @@
-"""Keepers: remember which idempotency keys have been claimed, for a window."""
+"""Keepers: nodes that record which idempotency keys have been claimed, for a window.
+
+The key window of a service is the time after the first use of a key in which a call
+with the same key must not run again.
+"""
 
 import hashlib
 import uuid
@@ -20,22 +24,22 @@
     "majority",
 ]
 
-#: Keepers of one key; a majority of them must grant it.
+#: Number of keepers of a key; a majority of them must grant a claim.
 KEEPERS_PER_KEY = 3
 
-#: Keys that one keeper remembers; a further one is not granted.
+#: Maximum number of keys that one keeper records; claims of further keys are refused.
 MAX_RECORDS = 200_000
 
-#: How much longer an unsettled claim is kept than the window, in seconds: the
-#: longest deadline that a route may have.
+#: Longest deadline that a route may have.  An unsettled claim is kept this much longer
+#: than the window, as its call may still run.
 MAX_CALL_SECONDS = 300.0
 
-#: How far the clocks of callers and hosts may be apart, in seconds.
+#: Maximum assumed difference between the clocks of callers and hosts.
 MAX_CLOCK_SKEW_SECONDS = 2.0
 
 
 class Verdict(IntEnum):
-    """What a keeper says to a claim."""
+    """A keeper's answer to a claim."""
 
     GRANTED = 0
     RUNNING = 1
@@ -60,12 +64,12 @@
 
 
 def majority(count):
-    """Return how many of `count` keepers make a majority."""
+    """Return the smallest majority of `count` keepers."""
     return count // 2 + 1
 
 
 def keepers_of(key, hosts):
-    """Return the keepers of `key` among `hosts`, by rendezvous hashing.
+    """Return the keepers of `key` among `hosts`, chosen by rendezvous hashing.
 
     References
     ----------
@@ -77,7 +81,7 @@
 
 
 def creation_microseconds(key):
-    """Return when a UUID version 7 was made, in microseconds; 0 for other keys.
+    """Return the creation time of a UUID version 7 in microseconds since 1970; 0 for other keys.
 
     References
     ----------
@@ -91,7 +95,7 @@
 
 
 def fingerprint(method, target, body):
-    """Return a number that tells requests under one key apart."""
+    """Return a 56-bit hash by which a keeper detects another request with the same key."""
     digest = hashlib.blake2b(digest_size=7)
     digest.update(f"{method} {target}\n".encode())
     digest.update(body)
@@ -99,21 +103,27 @@
 
 
 class Keeper:
-    """Grant each key once, and vouch for it only where nothing can be forgotten.
+    """Grant each key once, and vouch for a grant only if no record can be missing.
+
+    Parameters
+    ----------
+    here : object
+        The settings of this node; its ``host`` is read.
 
     Notes
     -----
-    Each claim goes to the three keepers of its key, and runs if a majority
-    grants it *and vouches*.  Two such majorities share a keeper, and a keeper
-    that vouches has forgotten nothing since before the key's first use: it
-    would not grant a second time.  A keeper vouches only if
-
-    - it has run since before the key can have been used first, and
-    - in all views of the membership that it held since then it was a keeper
-      of the key, and fewer than a majority of the keepers have been replaced;
-    - the one who asks sees the same keepers.
-
-    A pause or a partition loses no memory, so neither needs a rule here.
+    An entry claims a key at its three keepers and runs the call if a majority of
+    them grants the claim *and vouches* for it.  Any two such majorities share a
+    keeper, and a keeper that vouches has kept all records since before the key's
+    first use, so it does not grant the key a second time.  Records are held in
+    memory only.  A keeper vouches only if
+
+    - it started before the key's earliest possible first use, and
+    - in all membership views that it has had since then, it was a keeper of the
+      key and fewer than a majority of the keepers have been replaced since, and
+    - the entry that claims the key knows the same keepers.
+
+    Pauses and partitions lose no records, so they need no rule here.
     """
 
     def __init__(self, here):
@@ -123,7 +133,7 @@
         self._views = {}
 
     async def start(self, kernel):
-        """Follow the membership."""
+        """Subscribe to membership changes."""
         self._members = kernel.find("members")
         self._metrics = kernel.find("metrics")
         self._started = now()
@@ -136,7 +146,7 @@
         return len(self._records)
 
     def claim(self, message):
-        """Return ``(verdict, vouches)`` for a `caperstack.peers.messages.Claim`."""
+        """Return ``(verdict, vouches)`` for `message`, a `caperstack.peers.messages.Claim`."""
         self._forget_old()
         window = message.window_us / 1e6
         verdict = self._verdict(message, window)
@@ -165,7 +175,7 @@
         return Verdict.GRANTED if record.holder == message.holder else Verdict.RUNNING
 
     def settle(self, message):
-        """Note how the holder's call ended; proof that it did not run frees the key."""
+        """Record whether the holder's call ran; if it did not, release the key."""
         name = (message.service, message.key)
         record = self._records.get(name)
         if record is None or record.holder != message.holder:
@@ -177,21 +187,24 @@
         record.forget_at = deadline_after(record.window)
 
     def _forget_old(self):
-        moment = now()
+        current_time = now()
         while self._records:
             name, record = next(iter(self._records.items()))
-            if record.forget_at > moment:
+            if record.forget_at > current_time:
                 return
             del self._records[name]
 
     # -- vouching ---------------------------------------------------------
 
     def _earliest_first_use(self, message, window):
-        """Return the earliest point at which the key can have been used, or ``None``."""
+        """Return the earliest time at which the key can have been used first.
+
+        Returns ``None`` if that is so long ago that records may have expired since.
+        """
         if not message.born_us:
             return now() - window
         age = (wall_microseconds() - message.born_us) / 1e6 + MAX_CLOCK_SKEW_SECONDS
-        # Older than what is remembered: a first use may be forgotten already.
+        # The record of a first use before the window may have expired already.
         return None if age > window else now() - age
 
     def _vouches(self, message, window):
@@ -208,11 +221,12 @@
                 return False
         return self._here.host in current
 
-    def _keepers_since(self, service, key, point):
+    def _keepers_since(self, service, key, start):
+        """Yield the set of keepers of `key` in each membership view held since `start`."""
         views = self._views.get(service, [])
         for index, view in enumerate(views):
-            ended = views[index + 1].since if index + 1 < len(views) else float("inf")
-            if ended > point:
+            view_end = views[index + 1].since if index + 1 < len(views) else float("inf")
+            if view_end > start:
                 yield set(keepers_of(key, view.hosts))
 
     def _hosts(self, service):
@@ -221,6 +235,7 @@
     def _on_member(self, member, gone):
         views = self._views.setdefault(member.service, [])
         views.append(_MembershipView(now(), self._hosts(member.service)))
+        # The longest key window that the settings allow is 86,400 seconds.
         oldest = now() - 86_400
         while len(views) > 1 and views[1].since < oldest:
             views.pop(0)
--- a/caperstack/idempotency/tests/test_keeper.py
+++ b/caperstack/idempotency/tests/test_keeper.py
@@ -1,4 +1,4 @@
-"""Keepers: no key is granted twice by vouching majorities, whatever is restarted."""
+"""Tests that no key is granted twice within its window, also across restarts of keepers."""
 
 import contextlib
 import random
@@ -45,14 +45,14 @@
 
 
 class FakeMetrics:
-    """Counts nothing."""
+    """Discards all counts."""
 
     def count(self, *_, **__):
         pass
 
 
 class Cluster:
-    """A few keepers under one settable clock; entries claim at all of them."""
+    """Keepers that share a simulated clock and claims made at them."""
 
     def __init__(self, names):
         self.current_time = 1000.0
@@ -63,7 +63,7 @@
             self.start(name)
 
     def start(self, name):
-        """Start or restart a keeper: it forgets everything."""
+        """Start or restart a keeper, which loses all its records."""
         members = self.members[name] = FakeMembers()
         self.keepers[name] = Keeper(SimpleNamespace(host=name))
         services = {"members": members, "metrics": FakeMetrics()}
@@ -73,7 +73,7 @@
         members.change(self.names)
 
     def replace(self, old, new):
-        """A host is gone and another one is there, as everyone sees at once."""
+        """Replace a host by another one; all keepers see the change at once."""
         self.names = [name for name in self.names if name != old] + [new]
         del self.keepers[old], self.members[old]
         for name in self.keepers:
@@ -90,7 +90,7 @@
 
 
 def step():
-    """One thing that happens between two claims."""
+    """Return a strategy for one step of a history: a claim, a fault or a wait."""
     return st.one_of(
         st.tuples(st.just("claim"), st.sets(st.integers(0, 4), max_size=2)),
         st.tuples(st.just("restart"), st.integers(0, 4)),
@@ -100,7 +100,7 @@
 
 
 class TestVouchingMajority(unittest.TestCase):
-    """A key runs once within its window."""
+    """A key is granted at most once within its window."""
 
     def setUp(self):
         self.cluster = SimpleNamespace(current_time=1000.0)
@@ -120,9 +120,9 @@
     @settings(max_examples=300, deadline=None)
     @given(st.integers(1, 5), st.lists(step(), min_size=2, max_size=14))
     def test_no_history_grants_twice_within_the_window(self, count, steps):
-        # A treasurer repeats a sweep under its key through any node, while
-        # keepers restart with empty memory, are replaced, or cannot be reached.
-        # Within the window from the first try the sweep must not run again.
+        # A caller repeats a request under its key through any node, while keepers
+        # restart without their records, are replaced, or cannot be reached.  The
+        # request must not run again within the window from the first attempt.
         self.build(count)
         granted_at = None
         for number, (kind, what) in enumerate(steps):
@@ -149,8 +149,9 @@
         self.assertFalse(self.cluster.claim("key", 2))
 
     def test_restarted_keepers_vouch_only_for_keys_created_later(self):
-        # Right after all nodes restarted, an opaque key may have run before:
-        # nobody can vouch for it.  A UUID version 7 tells that it is new.
+        # After a restart of all nodes no keeper can vouch for an opaque key, whose
+        # request may have run before.  A UUID version 7 contains its creation time,
+        # which shows that the key is new.
         self.build(3)
         for name in list(self.cluster.names):
             self.cluster.start(name)
@@ -182,7 +183,7 @@
 
 
 class TestKeys(unittest.TestCase):
-    """Reading a key's birth."""
+    """`creation_microseconds`."""
 
     def test_uuid_version_7_gives_its_creation_time(self):
         with mock.patch("time.time_ns", lambda: 1_700_000_000_123 * 10**6):
