--- a/caperstack/idempotency/claims.py
+++ b/caperstack/idempotency/claims.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class _GrantedClaim:
+class _KeyClaim:
     """A claim at the keepers of a key, and how to settle it.
 
     Attributes
@@ -84,7 +84,7 @@
         """
         hosts = [member.host for member in self._members.of_service(call.service)]
         keepers = keepers_of(call.key, hosts)
-        held = _GrantedClaim(call.service, call.key, secrets.randbits(HOLDER_BITS), keepers)
+        held = _KeyClaim(call.service, call.key, secrets.randbits(HOLDER_BITS), keepers)
         replies = await self._claim_at_keepers(call, held)
         if keepers and len(_vouched_grants(replies)) >= majority(len(keepers)):
             return held, None
--- a/caperstack/operators/exposition.py
+++ b/caperstack/operators/exposition.py
@@ -10,7 +10,7 @@
 __all__ = ["exposition"]
 
 #: The bounds in seconds under which a scrape tells how many values lie.
-BUCKETS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 120.0)
+BUCKET_BOUNDS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 120.0)
 
 
 def exposition(metrics, accept):
@@ -24,7 +24,7 @@
         The formats that the reader takes.
     """
     registry = Registry()
-    for name, tally in metrics.tallies():
+    for name, tally in metrics.counters():
         title = name.replace("_", " ")
         metric = Counter(f"caperstack_{name}_total", title, metrics.labels, registry)
         for key, number in tally.items():
@@ -41,13 +41,13 @@
     buckets = Gauge(f"caperstack_{name}_bucket", title, labels, registry)
     counts = Gauge(f"caperstack_{name}_count", title, labels, registry)
     for label, histogram in histograms.items():
-        for bound, below in zip(BUCKETS, _counts_up_to_bounds(histogram), strict=True):
+        for bound, below in zip(BUCKET_BOUNDS, _cumulative_counts(histogram), strict=True):
             buckets.set({"kind": label, "le": str(bound)}, below)
         counts.set({"kind": label}, histogram.get_total_count())
 
 
-def _counts_up_to_bounds(histogram):
-    """Yield how many recorded values are at most each of `BUCKETS`, in one pass.
+def _cumulative_counts(histogram):
+    """Yield how many recorded values are at most each of `BUCKET_BOUNDS`, in one pass.
 
     Notes
     -----
@@ -56,18 +56,18 @@
     """
     below = 0
     place = 0
-    for end in _ends_of_bounds():
+    for end in _slots_by_bound():
         below += sum(map(histogram.get_count_at_index, range(place, end)))
         place = end
         yield below
 
 
 @functools.cache
-def _ends_of_bounds():
-    """Return for each of `BUCKETS` how many slots of a histogram lie at or under it."""
+def _slots_by_bound():
+    """Return for each of `BUCKET_BOUNDS` how many slots of a histogram lie at or under it."""
     layout = empty_histogram()
     tops = [
         layout.get_highest_equivalent_value(layout.get_value_from_index(place))
         for place in range(layout.counts_len)
     ]
-    return [bisect_right(tops, int(bound * 1e6)) for bound in BUCKETS]
+    return [bisect_right(tops, int(bound * 1e6)) for bound in BUCKET_BOUNDS]
--- a/caperstack/operators/metrics.py
+++ b/caperstack/operators/metrics.py
@@ -9,21 +9,21 @@
 
 #: Distinct reasons counted by name; further ones are counted as "other", so
 #: that a text from outside cannot grow the number of time series.
-REASONS_MOST = 40
+MAX_LABEL_SETS = 40
 
 #: Latencies are kept from 0.1 ms to two minutes with two significant digits;
 #: a histogram takes 15 kB and a value 1.3 microseconds (measured).
-LEAST_MICROSECONDS = 100
-MOST_MICROSECONDS = 120_000_000
-DIGITS = 2
+MIN_MICROSECONDS = 100
+MAX_MICROSECONDS = 120_000_000
+SIGNIFICANT_DIGITS = 2
 
 #: Histograms of one name; further label values share the last one.
-HISTOGRAMS_MOST = 12
+MAX_HISTOGRAMS = 12
 
 
 def empty_histogram():
     """Return a histogram of latencies in microseconds; all have the same slots."""
-    return HdrHistogram(LEAST_MICROSECONDS, MOST_MICROSECONDS, DIGITS)
+    return HdrHistogram(MIN_MICROSECONDS, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
 
 
 class Metrics:
@@ -43,7 +43,7 @@
 
     def __init__(self, host):
         self._labels = {"host": host}
-        self._tallies = {}
+        self._counters = {}
         self._gauges = []
         self._histograms = {}
         self.peer_bytes_in = 0
@@ -59,9 +59,9 @@
 
     def count(self, name, amount=1, **labels):
         """Add `amount` to counter `name`."""
-        tally = self._tallies.setdefault(name, Tally())
+        tally = self._counters.setdefault(name, Tally())
         key = tuple(sorted(labels.items()))
-        if key not in tally and len(tally) >= REASONS_MOST:
+        if key not in tally and len(tally) >= MAX_LABEL_SETS:
             key = tuple((label, "other") for label, _ in key)
         tally[key] += amount
 
@@ -74,19 +74,19 @@
     def value(self, name, **labels):
         """Return the value of counter `name`, over all label sets that include `labels`."""
         wanted = set(labels.items())
-        tally = self._tallies.get(name, {})
+        tally = self._counters.get(name, {})
         return sum(number for key, number in tally.items() if wanted <= set(key))
 
     def time(self, name, seconds, label):
         """Add a latency in seconds to histogram `name`, under ``kind`` `label`."""
         found = self._histograms.setdefault(name, {})
-        if label not in found and len(found) >= HISTOGRAMS_MOST:
+        if label not in found and len(found) >= MAX_HISTOGRAMS:
             label = "other"
         histogram = found.get(label)
         if histogram is None:
             histogram = found[label] = empty_histogram()
         microseconds = int(seconds * 1e6)
-        histogram.record_value(min(max(microseconds, LEAST_MICROSECONDS), MOST_MICROSECONDS))
+        histogram.record_value(min(max(microseconds, MIN_MICROSECONDS), MAX_MICROSECONDS))
 
     def refused(self, reason):
         """Count a refusal by the owner."""
@@ -112,9 +112,9 @@
         """The labels that every figure bears."""
         return self._labels
 
-    def tallies(self):
+    def counters(self):
         """Yield ``(name, {labels: number})`` of each counter."""
-        yield from self._tallies.items()
+        yield from self._counters.items()
 
     def gauges(self):
         """Yield ``(name, help text, value)`` of each gauge."""
--- a/caperstack/operators/port.py
+++ b/caperstack/operators/port.py
@@ -39,7 +39,7 @@
                 "/metrics": self._metrics_page,
                 "/health": self._health_page,
                 "/events": self._events_page,
-                "/members": lambda _: _json_page({"members": self.members_in_words()}),
+                "/members": lambda _: _json_page({"members": self.member_documents()}),
                 "/settings": self._settings_page,
             },
         )
@@ -67,7 +67,7 @@
         return _json_page({"host": self.here.host, "events": events})
 
     def _settings_page(self, _request):
-        return _json_page({"host": self.here.host, "subtrees": self.settings_in_words()})
+        return _json_page({"host": self.here.host, "subtrees": self.settings_documents()})
 
     def health(self):
         """Return whether this node serves, and its load, as a dict."""
@@ -85,7 +85,7 @@
             "peers": self._peers.peers,
         }
 
-    def members_in_words(self):
+    def member_documents(self):
         """Return what this node believes of each member, a list of dicts."""
         return [
             {
@@ -107,7 +107,7 @@
         usual = self._dispatcher.usual_seconds(member.service)
         return round(member.estimate.expected_seconds(usual) * 1000, 3)
 
-    def settings_in_words(self):
+    def settings_documents(self):
         """Return what is in force, since when, from whom, and what was refused."""
         return [
             {
--- a/caperstack/operators/tests/test_metrics.py
+++ b/caperstack/operators/tests/test_metrics.py
@@ -6,14 +6,14 @@
 import unittest
 from collections import Counter
 
-from caperstack.operators.exposition import BUCKETS
-from caperstack.operators.metrics import REASONS_MOST, Metrics, empty_histogram
+from caperstack.operators.exposition import BUCKET_BOUNDS
+from caperstack.operators.metrics import MAX_LABEL_SETS, Metrics, empty_histogram
 
 
 class TestMetrics(unittest.TestCase):
     """`Metrics`."""
 
-    def test_rendered_again_and_again(self):
+    def test_metrics_can_be_rendered_repeatedly(self):
         # The second scrape of a node gave an error page: aioprometheus puts
         # each metric into one registry of the process unless told otherwise.
         metrics = Metrics("h1")
@@ -26,13 +26,13 @@
 
     def test_label_values_are_bounded(self):
         metrics = Metrics("h1")
-        for number in range(10 * REASONS_MOST):
+        for number in range(10 * MAX_LABEL_SETS):
             metrics.refused(f"reason {number}")
         body, _ = metrics.render(["text/plain"])
-        self.assertLessEqual(body.decode().count("refusals_total{"), REASONS_MOST + 1)
-        self.assertEqual(metrics.value("refusals"), 10 * REASONS_MOST)
+        self.assertLessEqual(body.decode().count("refusals_total{"), MAX_LABEL_SETS + 1)
+        self.assertEqual(metrics.value("refusals"), 10 * MAX_LABEL_SETS)
 
-    def test_latencies_are_told_by_bucket(self):
+    def test_latencies_are_counted_by_bucket(self):
         metrics = Metrics("h1")
         for milliseconds in (1, 30, 30, 450, 9000):
             metrics.time("call_seconds", milliseconds / 1000, "bookings")
@@ -49,14 +49,14 @@
         for seconds in values:
             metrics.time("call_seconds", seconds, "bookings")
         text = metrics.render(["text/plain"])[0].decode()
-        for bound in BUCKETS:
+        for bound in BUCKET_BOUNDS:
             shown = re.search(rf'le="{re.escape(str(bound))}"}} (\d+)', text)
             # A histogram keeps two digits: values within a percent count either way.
             least = sum(value <= bound * 0.99 for value in values)
             most = sum(value <= bound * 1.01 for value in values)
             self.assertTrue(least <= int(shown[1]) <= most, (bound, shown[1], least, most))
 
-    def test_fetching_the_figures_takes_one_pass_of_a_histogram(self):
+    def test_rendering_makes_one_pass_over_a_histogram(self):
         """A pass for each bound stops the node for most of a second, and its callers wait."""
         metrics = Metrics("h1")
         for milliseconds in range(1, 2000):
