--- a/caperstack/operators/__init__.py
+++ b/caperstack/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What operators see of a node."""
+"""The operator interface of a node: metrics, health, events, members and settings."""
--- a/caperstack/operators/exposition.py
+++ b/caperstack/operators/exposition.py
@@ -1,4 +1,4 @@
-"""The figures of a node in the text format of Prometheus, by aioprometheus."""
+"""Export of a node's metrics in the Prometheus text format, with aioprometheus."""
 
 import functools
 from bisect import bisect_right
@@ -9,19 +9,19 @@
 
 __all__ = ["exposition"]
 
-#: The bounds in seconds under which a scrape tells how many values lie.
+#: Upper bounds of the exported histogram buckets, in seconds.
 BUCKET_BOUNDS = (0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 120.0)
 
 
 def exposition(metrics, accept):
-    """Return ``(body, headers)`` with all figures of `metrics`.
+    """Return ``(body, headers)`` of a response with all values of `metrics`.
 
     Parameters
     ----------
     metrics : caperstack.operators.metrics.Metrics
-        The figures.
+        The metrics of the node.
     accept : list of str
-        The formats that the reader takes.
+        The values of the request's ``Accept`` headers.
     """
     registry = Registry()
     for name, tally in metrics.counters():
@@ -47,27 +47,27 @@
 
 
 def _cumulative_counts(histogram):
-    """Yield how many recorded values are at most each of `BUCKET_BOUNDS`, in one pass.
+    """Yield for each of `BUCKET_BOUNDS` how many recorded values are at most that bound.
 
     Notes
     -----
-    Failure: a pass for each bound takes most of a second on a small host, in which
-    the node serves nobody, each time that the figures are fetched.
+    This takes a single pass over the histogram.  A pass for each bound takes most of
+    a second per scrape on a small host and blocks the event loop for that time.
     """
     below = 0
-    place = 0
+    start = 0
     for end in _slots_by_bound():
-        below += sum(map(histogram.get_count_at_index, range(place, end)))
-        place = end
+        below += sum(map(histogram.get_count_at_index, range(start, end)))
+        start = end
         yield below
 
 
 @functools.cache
 def _slots_by_bound():
-    """Return for each of `BUCKET_BOUNDS` how many slots of a histogram lie at or under it."""
+    """Return for each of `BUCKET_BOUNDS` how many histogram slots lie at or below it."""
     layout = empty_histogram()
     tops = [
-        layout.get_highest_equivalent_value(layout.get_value_from_index(place))
-        for place in range(layout.counts_len)
+        layout.get_highest_equivalent_value(layout.get_value_from_index(index))
+        for index in range(layout.counts_len)
     ]
     return [bisect_right(tops, int(bound * 1e6)) for bound in BUCKET_BOUNDS]
--- a/caperstack/operators/metrics.py
+++ b/caperstack/operators/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms, kept as plain numbers until somebody asks."""
+"""Counters, gauges and histograms of a node, converted to Prometheus metrics on demand."""
 
 import importlib
 from collections import Counter as Tally
@@ -7,27 +7,34 @@
 
 __all__ = ["Metrics", "empty_histogram"]
 
-#: Distinct reasons counted by name; further ones are counted as "other", so
-#: that a text from outside cannot grow the number of time series.
+#: Maximum number of label sets of a counter; further ones are counted with the label
+#: value "other", so that texts from outside (such as refusal reasons) cannot create
+#: an unbounded number of time series.
 MAX_LABEL_SETS = 40
 
-#: Latencies are kept from 0.1 ms to two minutes with two significant digits;
-#: a histogram takes 15 kB and a value 1.3 microseconds (measured).
+#: Histograms record latencies from 0.1 ms to two minutes with two significant digits.
+#: A histogram then takes 15 kB, and recording a value takes 1.3 microseconds.
 MIN_MICROSECONDS = 100
 MAX_MICROSECONDS = 120_000_000
 SIGNIFICANT_DIGITS = 2
 
-#: Histograms of one name; further label values share the last one.
+#: Maximum number of label values of a histogram, apart from "other", which further label
+#: values share.
 MAX_HISTOGRAMS = 12
 
 
 def empty_histogram():
-    """Return a histogram of latencies in microseconds; all have the same slots."""
+    """Return an empty histogram of latencies in microseconds; all have the same slots."""
     return HdrHistogram(MIN_MICROSECONDS, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
 
 
 class Metrics:
-    """The counters and latency histograms of one node.
+    """The counters, gauges and latency histograms of one node.
+
+    Parameters
+    ----------
+    host : str
+        Host name of the node, a label of each metric.
 
     Attributes
     ----------
@@ -36,9 +43,9 @@
 
     Notes
     -----
-    aioprometheus hashes its labels at each increment, some microseconds that
-    every call would pay several times.  Plain tallies cost a tenth and are
-    handed over when the operator asks.
+    aioprometheus hashes the labels at each increment, which takes some microseconds
+    several times per call.  `collections.Counter` takes a tenth of that; its values
+    are converted to aioprometheus metrics at a scrape.
     """
 
     def __init__(self, host):
@@ -78,13 +85,13 @@
         return sum(number for key, number in tally.items() if wanted <= set(key))
 
     def time(self, name, seconds, label):
-        """Add a latency in seconds to histogram `name`, under ``kind`` `label`."""
-        found = self._histograms.setdefault(name, {})
-        if label not in found and len(found) >= MAX_HISTOGRAMS:
+        """Record a latency in seconds in histogram `name`, with the label ``kind=label``."""
+        by_label = self._histograms.setdefault(name, {})
+        if label not in by_label and len(by_label) >= MAX_HISTOGRAMS:
             label = "other"
-        histogram = found.get(label)
+        histogram = by_label.get(label)
         if histogram is None:
-            histogram = found[label] = empty_histogram()
+            histogram = by_label[label] = empty_histogram()
         microseconds = int(seconds * 1e6)
         histogram.record_value(min(max(microseconds, MIN_MICROSECONDS), MAX_MICROSECONDS))
 
@@ -93,27 +100,27 @@
         self.count("refusals", reason=reason)
 
     def backend_failed(self, reason):
-        """Count a call that the backend server did not answer whole."""
+        """Count a call without a complete response of the backend server."""
         self.count("backend_failures", reason=reason[:60])
 
     def gauge(self, name, help_text, read):
-        """Show ``read()`` as gauge `name`."""
+        """Register gauge `name`, whose value is ``read()`` at the time of a scrape."""
         self._gauges.append((name, help_text, read))
 
     def render(self, accept):
-        """Return ``(body, headers)`` in the format that `accept` asks for."""
-        # Imported with the first scrape: most nodes are never asked, and it
-        # takes 0.2 MB and 15 modules of each start.
+        """Return ``(body, headers)`` of all metrics in a format that `accept` allows."""
+        # Imported at the first scrape: most nodes are never scraped, and the import
+        # costs 0.2 MB and loads 15 modules.
         module = importlib.import_module("caperstack.operators.exposition")
         return module.exposition(self, accept)
 
     @property
     def labels(self):
-        """The labels that every figure bears."""
+        """The labels of every metric."""
         return self._labels
 
     def counters(self):
-        """Yield ``(name, {labels: number})`` of each counter."""
+        """Yield ``(name, {labels: count})`` of each counter."""
         yield from self._counters.items()
 
     def gauges(self):
--- a/caperstack/operators/pages.py
+++ b/caperstack/operators/pages.py
@@ -1,4 +1,4 @@
-"""A small HTTP port that shows pages, without a framework's memory."""
+"""A minimal HTTP server for operator pages, which avoids the memory of a web framework."""
 
 from dataclasses import dataclass, field
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """What a path shows."""
+    """The response to a request of one path."""
 
     body: bytes
     status: int = 200
@@ -20,19 +20,19 @@
 
 
 class PagePort:
-    """Answer GET requests with pages.
+    """An HTTP server that answers GET and HEAD requests with pages.
 
     Parameters
     ----------
     address : str
-        Where it listens.
+        The address to listen on.
     pages : dict of str to callable
         For each path a function that takes tornado's request and returns a `Page`.
 
     Notes
     -----
-    tornado's web framework takes 1.2 MB in each process (private memory,
-    Python 3.11), which its routing of five paths is not worth.
+    Tornado's web framework takes 1.2 MB of private memory per process (Python 3.11),
+    too much for routing five paths.
     """
 
     def __init__(self, address, pages):
@@ -41,12 +41,12 @@
         self._server = HTTPServer(self._answer)
 
     def listen(self):
-        """Open the port."""
+        """Start listening."""
         ip, port = split_address(self._address)
         self._server.listen(port, ip)
 
     async def close(self):
-        """Close the port and its connections."""
+        """Stop listening and close all connections."""
         self._server.stop()
         await self._server.close_all_connections()
 
--- a/caperstack/operators/port.py
+++ b/caperstack/operators/port.py
@@ -17,14 +17,20 @@
 
 
 class OperatorPort:
-    """What an operator can read of one node; nothing can be changed here."""
+    """The read-only HTTP interface of one node for operators.
+
+    Parameters
+    ----------
+    here : object
+        The settings of this node.
+    """
 
     def __init__(self, here):
         self.here = here
         self._port = None
 
     async def start(self, kernel):
-        """Listen."""
+        """Look up the services that this one uses and start listening."""
         self.metrics = kernel.find("metrics")
         self.events = kernel.find("events")
         self._members = kernel.find("members")
@@ -46,7 +52,7 @@
         self._port.listen()
 
     async def stop(self):
-        """Close the port."""
+        """Stop listening."""
         await self._port.close()
 
     def _metrics_page(self, request):
@@ -70,7 +76,7 @@
         return _json_page({"host": self.here.host, "subtrees": self.settings_documents()})
 
     def health(self):
-        """Return whether this node serves, and its load, as a dict."""
+        """Return the node's status, its load and the number of its peers as a dict."""
         load = self._owner.load
         return {
             "host": self.here.host,
@@ -86,7 +92,7 @@
         }
 
     def member_documents(self):
-        """Return what this node believes of each member, a list of dicts."""
+        """Return a list of dicts, one per member, with its state as known to this node."""
         return [
             {
                 "host": member.host,
@@ -104,11 +110,11 @@
         ]
 
     def _expected_ms(self, member):
-        usual = self._dispatcher.usual_seconds(member.service)
-        return round(member.estimate.expected_seconds(usual) * 1000, 3)
+        baseline = self._dispatcher.usual_seconds(member.service)
+        return round(member.estimate.expected_seconds(baseline) * 1000, 3)
 
     def settings_documents(self):
-        """Return what is in force, since when, from whom, and what was refused."""
+        """Return a list of dicts, one per subtree: revision in force, source, last refusal."""
         return [
             {
                 "path": held.path,
--- a/caperstack/operators/tests/test_metrics.py
+++ b/caperstack/operators/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Counters as operators get them."""
+"""Tests of the metrics as exported to operators."""
 
 import random
 import re
@@ -14,8 +14,8 @@
     """`Metrics`."""
 
     def test_metrics_can_be_rendered_repeatedly(self):
-        # The second scrape of a node gave an error page: aioprometheus puts
-        # each metric into one registry of the process unless told otherwise.
+        # By default aioprometheus adds each metric to a registry that the process
+        # shares, so that a second scrape fails with an error page.
         metrics = Metrics("h1")
         metrics.refused("queue is full")
         for _ in range(3):
@@ -51,13 +51,14 @@
         text = metrics.render(["text/plain"])[0].decode()
         for bound in BUCKET_BOUNDS:
             shown = re.search(rf'le="{re.escape(str(bound))}"}} (\d+)', text)
-            # A histogram keeps two digits: values within a percent count either way.
+            # Histograms keep two significant digits, so that values within one percent
+            # of a bound may be counted on either side of it.
             least = sum(value <= bound * 0.99 for value in values)
             most = sum(value <= bound * 1.01 for value in values)
             self.assertTrue(least <= int(shown[1]) <= most, (bound, shown[1], least, most))
 
     def test_rendering_makes_one_pass_over_a_histogram(self):
-        """A pass for each bound stops the node for most of a second, and its callers wait."""
+        """One pass per bound blocks the node, and its callers, for most of a second."""
         metrics = Metrics("h1")
         for milliseconds in range(1, 2000):
             metrics.time("call_seconds", milliseconds / 1000, "bookings")
