--- a/caperstack/config/here.py
+++ b/caperstack/config/node.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass, field
 
-__all__ = ["Backend", "Here", "Limits"]
+__all__ = ["Backend", "Limits", "NodeSettings"]
 
 MEBIBYTE = 1024 * 1024
 
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Here:
+class NodeSettings:
     """This node: its place, its addresses and its backend server."""
 
     host: str
--- a/caperstack/config/start.py
+++ b/caperstack/config/start.py
@@ -14,7 +14,7 @@
 MEBIBYTE = 1024 * 1024
 
 
-def _checked_address(value):
+def _validate_address(value):
     split_address(value)
     return value
 
@@ -40,7 +40,7 @@
     health_path: str = Field("/health", pattern="^/")
     load_path: str = Field("/load", pattern="^/")
 
-    _address = field_validator("address")(_checked_address)
+    _address = field_validator("address")(_validate_address)
 
 
 class PeerSeed(_Model):
@@ -52,7 +52,7 @@
     service: str = Field(min_length=1, max_length=64)
     peer_address: Address
 
-    _address = field_validator("peer_address")(_checked_address)
+    _address = field_validator("peer_address")(_validate_address)
 
 
 class SecuritySettings(_Model):
@@ -100,13 +100,13 @@
     settings: dict[str, dict] = Field(default_factory=dict)
 
     _addresses = field_validator("caller_address", "peer_address", "operator_address")(
-        _checked_address
+        _validate_address
     )
 
     @field_validator("configuration", "host_list")
     @classmethod
     def _optional_address(cls, value):
-        return value if value is None else _checked_address(value)
+        return value if value is None else _validate_address(value)
 
 
 def validation_reason(error):
--- a/caperstack/config/tests/test_start.py
+++ b/caperstack/config/tests/test_start.py
@@ -33,7 +33,7 @@
     def test_unknown_field_is_refused(self):
         self.assertEqual(self.refusal(zoen="a").peer, "zoen")
 
-    def test_plain_must_be_asked_for(self):
+    def test_security_mode_has_no_default(self):
         self.assertEqual(self.refusal(security={}).peer, "security.mode")
 
     def test_not_json(self):
--- a/caperstack/config/tree.py
+++ b/caperstack/config/tree.py
@@ -53,7 +53,7 @@
     deadline_seconds: float = Field(5.0, gt=0, le=300)
 
     @model_validator(mode="after")
-    def _one_destination(self):
+    def _validate_destination(self):
         if bool(self.service) == bool(self.split):
             raise ValueError("give either a service or a split")
         if any(weight < 0 for weight in self.split.values()):
@@ -101,7 +101,7 @@
 
     @field_validator("routes")
     @classmethod
-    def _no_route_twice(cls, routes):
+    def _validate_unique_routes(cls, routes):
         seen = set()
         for route in routes:
             for method in route.methods or ("*",):
--- a/caperstack/node/collector.py
+++ b/caperstack/node/collector.py
@@ -2,13 +2,13 @@
 
 import gc
 
-__all__ = ["calm_collector"]
+__all__ = ["configure_garbage_collector"]
 
 #: New objects between two runs of the youngest generation's collector.
-COLLECT_AFTER = 20_000
+YOUNG_GENERATION_THRESHOLD = 20_000
 
 
-def calm_collector():
+def configure_garbage_collector():
     """Keep the garbage collector from scanning what is alive for good.
 
     Notes
@@ -18,4 +18,4 @@
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, 20, 50)
+    gc.set_threshold(YOUNG_GENERATION_THRESHOLD, 20, 50)
--- a/caperstack/node/drain.py
+++ b/caperstack/node/drain.py
@@ -9,11 +9,11 @@
 
 #: How long peers have to learn that this node leaves, in seconds: a message
 #: between zones, many times over.
-NOTICE_SECONDS = 0.2
+PEER_NOTICE_SECONDS = 0.2
 
 #: A caller's connection that was quiet for so long is closed, in seconds.  A
 #: request that crosses the close was not read, which its caller sees.
-QUIET_SECONDS = 0.5
+CONNECTION_IDLE_SECONDS = 0.5
 
 POLL_SECONDS = 0.02
 
@@ -57,14 +57,14 @@
     events = kernel.find("events")
     events.state("node", "serving", "draining")
     callers.begin_drain()
-    await _until(plan.refuse_at)
+    await _sleep_until(plan.refuse_at)
     owner.leave()
     peers.tell_state()
-    noticed_at = deadline_after(NOTICE_SECONDS)
-    await _until(plan.close_at)
+    noticed_at = deadline_after(PEER_NOTICE_SECONDS)
+    await _sleep_until(plan.close_at)
     callers.stop_listening()
     while now() < plan.end_at:
-        connections = callers.close_quiet(QUIET_SECONDS)
+        connections = callers.close_quiet(CONNECTION_IDLE_SECONDS)
         busy = connections or peers.calls or not owner.idle
         if not busy and now() >= noticed_at:
             break
@@ -73,5 +73,5 @@
     callers.give_up()
 
 
-async def _until(moment):
+async def _sleep_until(moment):
     await asyncio.sleep(max(0.0, moment - now()))
--- a/caperstack/node/main.py
+++ b/caperstack/node/main.py
@@ -11,7 +11,7 @@
 from caperstack.events.log import LogWriter
 from caperstack.exception import CaperstackError
 from caperstack.node.assemble import assemble
-from caperstack.node.collector import calm_collector
+from caperstack.node.collector import configure_garbage_collector
 from caperstack.node.drain import DrainPlan, drain
 
 __all__ = ["main", "serve"]
@@ -42,7 +42,7 @@
         return file.read()
 
 
-def _log_of(here):
+def _create_log_writer(here):
     descriptor = {"stdout": 1, "stderr": 2}.get(here.log.to)
     return LogWriter(descriptor, here.host, here.log.lines_per_second)
 
@@ -61,11 +61,11 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
-    log = _log_of(here)
+    log = _create_log_writer(here)
     kernel = assemble(here, log)
     await kernel.start()
     log.state("started", version=__version__)
-    calm_collector()
+    configure_garbage_collector()
     await stopping.wait()
     await drain(kernel, DrainPlan(now(), now(), deadline_after(here.limits.drain_seconds)))
     await kernel.stop()
--- a/caperstack/operators/port.py
+++ b/caperstack/operators/port.py
@@ -76,7 +76,7 @@
         return _json_page({"host": self.here.host, "subtrees": self.settings_documents()})
 
     def health(self):
-        """Return the node's status, its load and the number of its peers as a dict."""
+        """Return the node's status, its load and its connected peers as a dict."""
         load = self._owner.load
         return {
             "host": self.here.host,
--- a/caperstack/platform/__main__.py
+++ b/caperstack/platform/__main__.py
@@ -10,7 +10,7 @@
 from caperstack.clock import deadline_after
 from caperstack.events.log import LogWriter
 from caperstack.exception import CaperstackError
-from caperstack.node.collector import calm_collector
+from caperstack.node.collector import configure_garbage_collector
 from caperstack.node.drain import DrainPlan, drain
 from caperstack.platform.assemble import assemble
 from caperstack.platform.boot import boot_path, read_boot
@@ -100,7 +100,7 @@
     loop.add_signal_handler(signal.SIGHUP, reloader.reload, "SIGHUP")
     await kernel.start()
     log.state("started", version=__version__, name=boot.name, service=boot.here.backend.service)
-    calm_collector()
+    configure_garbage_collector()
     reloading = asyncio.create_task(reloader.run())
     await stopping.wait()
     open_until = deadline_after(OPEN_SECONDS)
--- a/caperstack/platform/boot.py
+++ b/caperstack/platform/boot.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from caperstack.addresses import split_address
-from caperstack.config.here import Backend, Here, Limits
+from caperstack.config.node import Backend, Limits, NodeSettings
 from caperstack.exception import ConfigurationError
 from caperstack.platform.durations import seconds_of
 from caperstack.platform.names import BOOT_VARIABLE
@@ -85,7 +85,7 @@
 
     Attributes
     ----------
-    here : caperstack.config.here.Here
+    here : caperstack.config.node.NodeSettings
         This node.
     name : str
         What the platform calls this host.
@@ -101,7 +101,7 @@
         How often a backend server writes its entry in the store.
     """
 
-    here: Here
+    here: NodeSettings
     name: str
     ready_address: str
     store_address: str
@@ -192,7 +192,7 @@
 
 
 def _here(boot):
-    return Here(
+    return NodeSettings(
         # A backend server's entry in the store tells the IP of its host and no
         # name, so the IP is the name by which nodes know each other.
         host=boot.ip,
--- a/caperstack/platform/fleet.py
+++ b/caperstack/platform/fleet.py
@@ -14,7 +14,7 @@
 
     Parameters
     ----------
-    here : caperstack.config.here.Here
+    here : caperstack.config.node.NodeSettings
         This node.
     cold_bound : caperstack.platform.boot.ColdBound
         What a cold backend server may get in a second.
--- a/caperstack/platform/reader.py
+++ b/caperstack/platform/reader.py
@@ -63,7 +63,7 @@
 
     Parameters
     ----------
-    here : caperstack.config.here.Here
+    here : caperstack.config.node.NodeSettings
         This node.
     client : caperstack.platform.store.StoreClient
         What it reads with.
--- a/caperstack/platform/standin/growth.py
+++ b/caperstack/platform/standin/growth.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from caperstack.clock import TransitClock, now
-from caperstack.config.here import Backend, Here
+from caperstack.config.node import Backend, NodeSettings
 from caperstack.membership.members import Members
 from caperstack.operators.metrics import Metrics
 from caperstack.peers.frames import encode_frame
@@ -156,7 +156,7 @@
     def __init__(self, fleet, host, zone, service):
         backend = Backend(f"{host}:8000", service, 8, 1.0, 1)
         peer = f"{host}:{PEER_PORT}"
-        self.here = Here(host, zone, REGION, peer, peer, peer, backend)
+        self.here = NodeSettings(host, zone, REGION, peer, peer, peer, backend)
         self.fleet = fleet
         restores = Restores()
         self.settings = SettingsStore(StoreCodec(restores))
--- a/caperstack/platform/tests/test_fleet.py
+++ b/caperstack/platform/tests/test_fleet.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from caperstack.config.here import Backend, Here
+from caperstack.config.node import Backend, NodeSettings
 from caperstack.membership.members import Members
 from caperstack.platform.boot import ColdBound
 from caperstack.platform.fleet import FleetView
@@ -46,7 +46,7 @@
 
     async def asyncSetUp(self):
         peer = "10.0.0.1:7600"
-        here = Here("10.0.0.1", "a", "r", peer, peer, peer, Backend("", "s", 8, 1.0, 1))
+        here = NodeSettings("10.0.0.1", "a", "r", peer, peer, peer, Backend("", "s", 8, 1.0, 1))
         self.settings = SettingsStore(StoreCodec())
         self.members = Members(here)
         self.owner = mock.Mock()
--- a/caperstack/platform/watch.py
+++ b/caperstack/platform/watch.py
@@ -39,7 +39,7 @@
 
     Parameters
     ----------
-    here : caperstack.config.here.Here
+    here : caperstack.config.node.NodeSettings
         This node.
     client : caperstack.platform.store.StoreClient
         What it watches with.
--- a/caperstack/play/hosts.py
+++ b/caperstack/play/hosts.py
@@ -8,7 +8,7 @@
 from caperstack.backend.pace import PaceProbe
 from caperstack.calls.model import Call
 from caperstack.clock import deadline_after, now
-from caperstack.config.here import Backend, Here
+from caperstack.config.node import Backend, NodeSettings
 from caperstack.events.ring import EventRing
 from caperstack.kernel import Kernel
 from caperstack.membership.members import HostEntry, Members
@@ -122,7 +122,7 @@
         """Start the node with no memory."""
         scenario = self._options.scenario
         backend = Backend(NOWHERE, self.service.name, self.service.slots, scenario.slots_share, 1)
-        here = Here(self.name, self.zone, REGION, NOWHERE, NOWHERE, NOWHERE, backend)
+        here = NodeSettings(self.name, self.zone, REGION, NOWHERE, NOWHERE, NOWHERE, backend)
         self.kernel = kernel = Kernel()
         allowance = self._options.allowance
         rng = self._options.rng
--- a/caperstack/routing/candidates.py
+++ b/caperstack/routing/candidates.py
@@ -20,7 +20,7 @@
 
     Parameters
     ----------
-    here : caperstack.config.here.Here
+    here : caperstack.config.node.NodeSettings
         Where the choice is made.
     rng : random.Random
         The chance in it.
--- a/caperstack/settings/sync.py
+++ b/caperstack/settings/sync.py
@@ -73,7 +73,7 @@
 
     Parameters
     ----------
-    here : caperstack.config.here.Here
+    here : caperstack.config.node.NodeSettings
         This node.
     restores : caperstack.settings.restores.Restores, optional
         The era of the platform's revisions, told with each reading.
