--- a/caperstack/config/__init__.py
+++ b/caperstack/config/__init__.py
@@ -1,1 +1,1 @@
-"""Start settings of a node and the settings tree of the teams."""
+"""Models of a node's start settings and of the teams' settings tree."""
--- a/caperstack/config/node.py
+++ b/caperstack/config/node.py
@@ -1,7 +1,7 @@
-"""What a node knows of itself, as plain data classes.
+"""Settings of a node as plain data classes.
 
-`caperstack.config.start.StartSettings` has the same attributes, validated; a
-deployment that brings settings in a format of its own fills these instead.
+`caperstack.config.start.StartSettings` has the same attributes and validates them.
+A deployment with its own settings format creates these classes instead.
 """
 
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Backend:
-    """The backend server beside the node; ``slots_share`` as in the start settings."""
+    """The backend server of the node; ``slots_share`` is as in the start settings."""
 
     address: str
     service: str
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Limits:
-    """Bounds on what callers and peers may hold in this process."""
+    """Limits on the resources that callers and peers may use in this process."""
 
     body_bytes: int = 16 * MEBIBYTE
     bodies_bytes: int = 32 * MEBIBYTE
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class NodeSettings:
-    """This node: its place, its addresses and its backend server."""
+    """The node's host, zone and region, its addresses, its backend server and its limits."""
 
     host: str
     zone: str
--- a/caperstack/config/start.py
+++ b/caperstack/config/start.py
@@ -1,4 +1,4 @@
-"""Start settings of a node: one JSON document, validated whole."""
+"""Start settings of a node: a JSON document, validated as a whole."""
 
 import json
 from typing import Literal
@@ -27,14 +27,14 @@
 
 
 class BackendSettings(_Model):
-    """The backend server beside the node."""
+    """The backend server of the node."""
 
     address: Address
     service: str = Field(min_length=1, max_length=64)
     slots: int = Field(20, ge=1, le=10_000)
-    #: Calls at once, as a share of the slots.  A slot stands empty while an
-    #: answer is on its way to the owner and the next call on its way back, a
-    #: tenth of the time under load; a few calls more keep the slots busy.
+    #: Maximum concurrent calls as a share of the slots.  A slot is idle while a
+    #: response travels to the owner and the next call travels back, a tenth of the
+    #: time under load; slightly more calls than slots keep the slots busy.
     slots_share: float = Field(1.1, gt=0, le=2)
     connections: int = Field(200, ge=1, le=10_000)
     health_path: str = Field("/health", pattern="^/")
@@ -44,7 +44,7 @@
 
 
 class PeerSeed(_Model):
-    """A host that is known without the host list."""
+    """A peer that the node knows without reading the host list."""
 
     host: str = Field(min_length=1, max_length=128)
     zone: str = Field(min_length=1, max_length=64)
@@ -56,7 +56,7 @@
 
 
 class SecuritySettings(_Model):
-    """How peers prove who they are; ``plain`` must be asked for in words."""
+    """How peers authenticate; there is no default, so ``plain`` must be set explicitly."""
 
     mode: Literal["tls", "plain"]
     certificate: str = ""
@@ -65,14 +65,14 @@
 
 
 class LogSettings(_Model):
-    """Where log lines go; there is no file, hosts have no disks."""
+    """Where log lines are written; not to files, as hosts have no disks."""
 
     to: Literal["stdout", "stderr", "none"] = "stderr"
     lines_per_second: int = Field(LINES_PER_SECOND, ge=1, le=100_000)
 
 
 class LimitSettings(_Model):
-    """Bounds on what callers and peers may hold in this process."""
+    """Limits on the resources that callers and peers may use in this process."""
 
     body_bytes: int = Field(16 * MEBIBYTE, ge=1024, le=64 * MEBIBYTE)
     bodies_bytes: int = Field(96 * MEBIBYTE, ge=1024, le=256 * MEBIBYTE)
@@ -82,7 +82,7 @@
 
 
 class StartSettings(_Model):
-    """All that a node must know before it can ask anyone."""
+    """All settings that a node needs before it can reach other processes."""
 
     host: str = Field(min_length=1, max_length=128)
     zone: str = Field(min_length=1, max_length=64)
@@ -110,19 +110,19 @@
 
 
 def validation_reason(error):
-    """Return ``(field, reason)`` of the first fault in a pydantic `ValidationError`."""
+    """Return ``(field, reason)`` of the first error in a pydantic `ValidationError`."""
     first = error.errors()[0]
     field = ".".join(str(part) for part in first["loc"]) or "document"
     return field, first["msg"]
 
 
 def parse_start_settings(text):
-    """Return the `StartSettings` in the JSON `text`.
+    """Parse the JSON document `text` and return its `StartSettings`.
 
     Raises
     ------
     ConfigurationError
-        Naming the field and the reason.
+        If `text` is not valid; it names the field and the reason.
     """
     try:
         document = json.loads(text)
--- a/caperstack/config/tests/test_start.py
+++ b/caperstack/config/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Start settings: what is taken, and how refusals name the field."""
+"""Tests of which start settings are accepted, and that errors name the invalid field."""
 
 import json
 import unittest
--- a/caperstack/config/tree.py
+++ b/caperstack/config/tree.py
@@ -1,4 +1,4 @@
-"""The settings tree: one JSON document per team's subtree, validated whole."""
+"""The settings tree: one JSON document per team's subtree, validated as a whole."""
 
 from enum import IntEnum
 from typing import Literal
@@ -22,7 +22,7 @@
 
 
 class Criticality(IntEnum):
-    """How long a route outlasts others under overload; the higher, the longer."""
+    """Priority of a route under overload; calls of lower criticality are refused first."""
 
     low = 0
     normal = 1
@@ -112,12 +112,19 @@
 
 
 def parse_subtree(path, document):
-    """Return the `Subtree` in `document`, a decoded JSON value.
+    """Validate a decoded JSON value and return its `Subtree`.
+
+    Parameters
+    ----------
+    path : str
+        Path of the subtree, for error messages; empty for the root.
+    document : object
+        The decoded JSON value.
 
     Raises
     ------
     ConfigurationError
-        Naming the subtree, the field and the reason.
+        If `document` is not valid; it names the subtree, the field and the reason.
     """
     try:
         return Subtree.model_validate(document)
@@ -127,5 +134,5 @@
 
 
 def subtree_schema():
-    """Return the JSON Schema of a subtree, a dict."""
+    """Return the JSON Schema of a subtree as a dict."""
     return Subtree.model_json_schema()
--- a/caperstack/node/__init__.py
+++ b/caperstack/node/__init__.py
@@ -1,1 +1,1 @@
-"""The node: its services put together, started and drained."""
+"""The node process: creates, starts and drains the node's services."""
--- a/caperstack/node/assemble.py
+++ b/caperstack/node/assemble.py
@@ -1,4 +1,4 @@
-"""Put the services of a node together."""
+"""Create the services of a node."""
 
 from caperstack.admission.owner import Owner
 from caperstack.backend.client import BackendClient
@@ -29,7 +29,15 @@
 
 
 def assemble(here, log=None):
-    """Return the `Kernel` of a node, its services in the order of starting."""
+    """Return the `Kernel` of a node, with its services in the order in which they start.
+
+    Parameters
+    ----------
+    here : caperstack.config.start.StartSettings
+        The start settings.
+    log : caperstack.events.log.LogWriter, optional
+        Writes the events as log lines.
+    """
     kernel = Kernel()
     security = PeerSecurity(here.security)
     client = BackendClient(here.backend.address, here.backend.connections, here.limits.body_bytes)
--- a/caperstack/node/collector.py
+++ b/caperstack/node/collector.py
@@ -1,20 +1,20 @@
-"""Garbage collection that does not stop the loop."""
+"""Settings of the garbage collector that keep its pauses of the event loop short."""
 
 import gc
 
 __all__ = ["configure_garbage_collector"]
 
-#: New objects between two runs of the youngest generation's collector.
+#: Allocations, less deallocations, between two collections of the youngest generation.
 YOUNG_GENERATION_THRESHOLD = 20_000
 
 
 def configure_garbage_collector():
-    """Keep the garbage collector from scanning what is alive for good.
+    """Exclude the objects that exist now from garbage collection and collect less often.
 
     Notes
     -----
-    What is alive after the start stays alive: scanning it again and again for
-    garbage stops the loop for milliseconds, which shows in the tail.
+    Objects that are alive after the start stay alive.  Scanning them at each
+    collection blocks the event loop for milliseconds and raises the tail latency.
     """
     gc.collect()
     gc.freeze()
--- a/caperstack/node/drain.py
+++ b/caperstack/node/drain.py
@@ -1,4 +1,4 @@
-"""Leave the fleet without cutting a request."""
+"""Drain a node so that it leaves the fleet without cutting off requests."""
 
 import asyncio
 from dataclasses import dataclass
@@ -7,12 +7,12 @@
 
 __all__ = ["DrainPlan", "drain"]
 
-#: How long peers have to learn that this node leaves, in seconds: a message
-#: between zones, many times over.
+#: Time that peers have to learn that this node is leaving, many times the delay of a
+#: message between zones.
 PEER_NOTICE_SECONDS = 0.2
 
-#: A caller's connection that was quiet for so long is closed, in seconds.  A
-#: request that crosses the close was not read, which its caller sees.
+#: During a drain a caller's connection is closed once it was idle for this long.  A
+#: request sent while the connection closes is not read, and its caller can tell.
 CONNECTION_IDLE_SECONDS = 0.5
 
 POLL_SECONDS = 0.02
@@ -20,16 +20,16 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainPlan:
-    """When each step of a drain is due, as points on the local monotonic clock.
+    """The times of the steps of a drain, on the local monotonic clock in seconds.
 
     Attributes
     ----------
     refuse_at : float
-        The owner refuses new calls from here on.
+        From this time the owner refuses new calls.
     close_at : float
-        The callers' port takes no new connections from here on.
+        From this time the callers' port accepts no new connections.
     end_at : float
-        What is still open is given up.
+        At this time requests and connections that are still open are abandoned.
     """
 
     refuse_at: float
@@ -38,18 +38,19 @@
 
 
 async def drain(kernel, plan):
-    """Refuse new work, finish what runs, and return by ``plan.end_at``.
+    """Refuse new calls, let running calls complete, and return by ``plan.end_at``.
 
     Notes
     -----
-    Failure: a node that closes at once cuts the calls it runs, as entry for
-    its callers and as owner for its peers; they would end as "unknown".  So
-    peers are told first, refusals prove to late calls that they did not run,
-    and connections close only when both sides are idle.
-
-    Callers who learn of the drain from a health check go on sending for as
-    long as that takes.  The port stays open until then, and so does the owner:
-    its backend server stays, and every second without it is capacity lost.
+    Closing at once would cut off running calls, those of callers (as entry) and
+    those of peers (as owner), which would end as "unknown".  Therefore the node
+    first notifies its peers, refuses late calls with proof that they did not run,
+    and closes connections only when both sides are idle.
+
+    Callers that learn of the drain from a health check keep sending until its next
+    run.  Until ``plan.close_at`` the port accepts their connections, and until
+    ``plan.refuse_at`` the owner accepts calls, since its backend server keeps
+    running and each second without it loses capacity.
     """
     owner = kernel.find("owner")
     callers = kernel.find("callers")
@@ -60,18 +61,18 @@
     await _sleep_until(plan.refuse_at)
     owner.leave()
     peers.tell_state()
-    noticed_at = deadline_after(PEER_NOTICE_SECONDS)
+    notice_end = deadline_after(PEER_NOTICE_SECONDS)
     await _sleep_until(plan.close_at)
     callers.stop_listening()
     while now() < plan.end_at:
         connections = callers.close_quiet(CONNECTION_IDLE_SECONDS)
         busy = connections or peers.calls or not owner.idle
-        if not busy and now() >= noticed_at:
+        if not busy and now() >= notice_end:
             break
         await asyncio.sleep(POLL_SECONDS)
     events.state("node", "draining", "idle" if not callers.open_exchanges else "out of time")
     callers.give_up()
 
 
-async def _sleep_until(moment):
-    await asyncio.sleep(max(0.0, moment - now()))
+async def _sleep_until(wake_at):
+    await asyncio.sleep(max(0.0, wake_at - now()))
--- a/caperstack/node/main.py
+++ b/caperstack/node/main.py
@@ -1,4 +1,4 @@
-"""caperstack-node: the process beside each backend server."""
+"""The program caperstack-node, the process that runs beside each backend server."""
 
 import argparse
 import asyncio
@@ -55,7 +55,7 @@
     here : caperstack.config.start.StartSettings
         The start settings.
     stopping : asyncio.Event, optional
-        Set by the signals; a test may set it itself.
+        Starts the drain when set; the signals set it, and tests may do so.
     """
     stopping = stopping or asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -73,7 +73,7 @@
 
 
 def main(arguments=None):
-    """Run the command line; return the exit status."""
+    """Run the program with `arguments` and return its exit status."""
     options = _parser().parse_args(arguments)
     try:
         here = parse_start_settings(_read(options.settings))
