--- a/caperstack/idempotency/keeper.py
+++ b/caperstack/idempotency/keeper.py
@@ -53,7 +53,7 @@
     holder: int
     fingerprint: int
     ran: bool
-    forget_at: float
+    expires_at: float
     window: float
 
 
@@ -147,7 +147,7 @@
 
     def claim(self, message):
         """Return ``(verdict, vouches)`` for `message`, a `caperstack.peers.messages.Claim`."""
-        self._forget_old()
+        self._drop_expired()
         window = message.window_us / 1e6
         verdict = self._verdict(message, window)
         vouches = self._vouches(message, window)
@@ -184,13 +184,13 @@
             del self._records[name]
             return
         record.ran = True
-        record.forget_at = deadline_after(record.window)
+        record.expires_at = deadline_after(record.window)
 
-    def _forget_old(self):
+    def _drop_expired(self):
         current_time = now()
         while self._records:
             name, record = next(iter(self._records.items()))
-            if record.forget_at > current_time:
+            if record.expires_at > current_time:
                 return
             del self._records[name]
 
--- a/caperstack/membership/subset.py
+++ b/caperstack/membership/subset.py
@@ -6,9 +6,9 @@
 
 #: Maximum number of members of one service that an entry calls; half of them in its
 #: own zone.  Owners send load updates to the entries that call them, so the traffic
-#: of the fleet grows with this number: with 24 members at 73 hosts every owner sent
-#: updates to 72 peers.  With 8 members, each slowed by a noisy neighbour with
-#: probability 1/4, all of them are slow with probability 1 in 65,000.
+#: of the fleet grows with this number: with subsets of 24 members in a fleet of 73
+#: hosts every owner sent updates to 72 peers.  With 8 members, each slowed by a noisy
+#: neighbour with probability 1/4, all are slow with probability 1 in 65,000.
 SUBSET_SIZE = 8
 
 
--- a/caperstack/membership/tests/test_members.py
+++ b/caperstack/membership/tests/test_members.py
@@ -84,12 +84,12 @@
 
     def test_replaced_host_is_a_new_member(self):
         members = make_members()
-        heard = []
-        members.listen(lambda member, gone: heard.append((member.peer_address, gone)))
+        changes = []
+        members.listen(lambda member, gone: changes.append((member.peer_address, gone)))
         members.apply_host_list([entry("x")])
         members.apply_host_list([entry("x", peer_address="127.0.0.1:3")])
         self.assertEqual(
-            heard[1:], [("127.0.0.1:2", False), ("127.0.0.1:2", True), ("127.0.0.1:3", False)]
+            changes[1:], [("127.0.0.1:2", False), ("127.0.0.1:2", True), ("127.0.0.1:3", False)]
         )
 
     def test_bad_list_names_the_field(self):
