--- a/caperstack/idempotency/claims.py
+++ b/caperstack/idempotency/claims.py
@@ -78,7 +78,7 @@
 
         Returns
         -------
-        held, refusal : _Held or None, Outcome or None
+        held, refusal : _KeyClaim or None, Outcome or None
             Exactly one of them is set.  The caller of this method must pass `held`
             to `settle` when the call has ended.
         """
