--- a/caperstack/idempotency/claims.py
+++ b/caperstack/idempotency/claims.py
@@ -1,4 +1,4 @@
-"""The entry's side of idempotency keys: claim before the first dispatch, settle after."""
+"""The entry's side of idempotency keys: claim before the first dispatch, settle afterwards."""
 
 import asyncio
 import secrets
@@ -9,7 +9,7 @@
 from caperstack.exception import PeerError
 from caperstack.idempotency.keeper import (
     Verdict,
-    born_microseconds,
+    creation_microseconds,
     fingerprint,
     keepers_of,
     majority,
@@ -18,9 +18,10 @@
 
 __all__ = ["KeyClaims"]
 
-#: How long keepers have to answer, in seconds, within the call's deadline.
-CLAIM_SECONDS = 0.5
+#: Time that keepers have to answer a claim; the call's deadline may shorten it.
+CLAIM_TIMEOUT_SECONDS = 0.5
 
+#: Size of the random number that identifies one claim of a key.
 HOLDER_BITS = 62
 
 _REFUSALS = {
@@ -29,12 +30,20 @@
     Verdict.OTHER_REQUEST: NotRun("this key belongs to another request", status=422),
 }
 
-_CANNOT_VOUCH = Unknown("no majority of keepers can vouch for this key", 503)
+_NO_MAJORITY = Unknown("no majority of keepers can vouch for this key", 503)
 
 
 @dataclass(slots=True)
-class _Held:
-    """A claim that was granted."""
+class _KeyClaim:
+    """A claim at the keepers of a key, and how to settle it.
+
+    Attributes
+    ----------
+    holder : int
+        Random number that identifies this claim at the keepers.
+    keepers : list of str
+        The hosts of the keepers.
+    """
 
     service: str
     key: str
@@ -43,13 +52,19 @@
 
 
 class KeyClaims:
-    """Claims idempotency keys at their keepers."""
+    """Claim idempotency keys at their keepers and settle the claims.
+
+    Parameters
+    ----------
+    here : object
+        The settings of this node; its ``host`` is read.
+    """
 
     def __init__(self, here):
         self._here = here
 
     async def start(self, kernel):
-        """Find the services that this one needs."""
+        """Look up the services that this one uses."""
         self._members = kernel.find("members")
         self._settings = kernel.find("settings")
         self._keeper = kernel.find("keeper")
@@ -63,25 +78,29 @@
 
         Returns
         -------
-        held, refusal : _Held or None, Outcome or None
-            Exactly one of them is set.  Settle what is held.
+        held, refusal : _KeyClaim or None, Outcome or None
+            Exactly one of them is set.  The caller of this method must pass `held`
+            to `settle` when the call has ended.
         """
         hosts = [member.host for member in self._members.of_service(call.service)]
         keepers = keepers_of(call.key, hosts)
-        held = _Held(call.service, call.key, secrets.randbits(HOLDER_BITS), keepers)
-        replies = await self._ask_all(call, held)
-        if keepers and len(_grants(replies)) >= majority(len(keepers)):
+        held = _KeyClaim(call.service, call.key, secrets.randbits(HOLDER_BITS), keepers)
+        replies = await self._claim_at_keepers(call, held)
+        if keepers and len(_vouched_grants(replies)) >= majority(len(keepers)):
             return held, None
-        # A call that will not run must not stand in the way of the next one.
-        self._tell(held, ran=False)
+        # The call does not run, so its partial claim must not block a later one.
+        self._settle_at_keepers(held, ran=False)
         return None, self._refusal(replies)
 
     def settle(self, held, outcome):
-        """Tell the keepers how the call ended."""
+        """Report the outcome of the call to the keepers.
+
+        An unknown outcome is not reported: the claim then stays until it expires.
+        """
         if isinstance(outcome, NotRun):
-            self._tell(held, ran=False)
+            self._settle_at_keepers(held, ran=False)
         elif isinstance(outcome, Answered):
-            self._tell(held, ran=True)
+            self._settle_at_keepers(held, ran=True)
 
     def _refusal(self, replies):
         verdicts = {Verdict(reply.verdict) for reply in replies}
@@ -89,13 +108,13 @@
         for verdict in (Verdict.OTHER_REQUEST, Verdict.RAN, Verdict.RUNNING):
             if verdict in verdicts:
                 return _REFUSALS[verdict]
-        return _CANNOT_VOUCH
+        return _NO_MAJORITY
 
-    async def _ask_all(self, call, held):
+    async def _claim_at_keepers(self, call, held):
         window = self._settings.service(call.service).key_window_seconds
-        print_of_call = fingerprint(call.method, call.target, call.body)
-        born = born_microseconds(call.key)
-        deadline = min(call.deadline, deadline_after(CLAIM_SECONDS))
+        request_fingerprint = fingerprint(call.method, call.target, call.body)
+        created = creation_microseconds(call.key)
+        deadline = min(call.deadline, deadline_after(CLAIM_TIMEOUT_SECONDS))
         claims = [
             Claim(
                 0,
@@ -103,19 +122,19 @@
                 held.key,
                 held.keepers,
                 held.holder,
-                print_of_call,
-                born,
+                request_fingerprint,
+                created,
                 int(window * 1e6),
             )
             for _ in held.keepers
         ]
-        questions = [
-            asyncio.create_task(self._ask(host, claim, deadline))
+        requests = [
+            asyncio.create_task(self._claim_at(host, claim, deadline))
             for host, claim in zip(held.keepers, claims, strict=True)
         ]
-        return await _enough(questions)
+        return await _until_majority(requests)
 
-    async def _ask(self, host, claim, deadline):
+    async def _claim_at(self, host, claim, deadline):
         if host == self._here.host:
             return Claimed(0, *self._keeper.claim(claim), 0)
         member = self._members.find(host)
@@ -127,7 +146,7 @@
             self._metrics.count("keepers_silent")
             return None
 
-    def _tell(self, held, ran):
+    def _settle_at_keepers(self, held, ran):
         message = Settle(held.service, held.key, held.holder, ran)
         for host in held.keepers:
             member = self._members.find(host)
@@ -137,24 +156,24 @@
                 member.owner.tell(message)
 
 
-def _grants(replies):
+def _vouched_grants(replies):
     return [r for r in replies if r.verdict == Verdict.GRANTED and r.vouches]
 
 
-async def _enough(questions):
-    """Return the replies as soon as a majority grants, or when all are in.
+async def _until_majority(requests):
+    """Return the replies received once a majority grants, or else all replies.
 
     Notes
     -----
-    Failure: a keeper has just died and each claim waits for it in vain, so
-    that bookings take half a second longer.  Two grants of three decide; the
-    third question goes on by itself, so that its keeper has the record too.
+    Waiting for all keepers would add half a second (`CLAIM_TIMEOUT_SECONDS`) to
+    each claim while one of them is down.  Two grants of three decide; the request
+    to the third keeper is not cancelled, so that it records the claim too.
     """
     replies = []
-    for question in asyncio.as_completed(questions):
-        reply = await question
+    for request in asyncio.as_completed(requests):
+        reply = await request
         if reply is not None:
             replies.append(reply)
-        if len(_grants(replies)) >= majority(len(questions)):
+        if len(_vouched_grants(replies)) >= majority(len(requests)):
             break
     return replies
--- a/caperstack/idempotency/tests/test_keeper.py
+++ b/caperstack/idempotency/tests/test_keeper.py
@@ -1,4 +1,4 @@
-"""Keepers: no key is granted twice by vouching majorities, whatever is restarted."""
+"""Tests that no key is granted twice within its window, also across restarts of keepers."""
 
 import contextlib
 import random
@@ -14,7 +14,7 @@
 from caperstack.idempotency.keeper import (
     Keeper,
     Verdict,
-    born_microseconds,
+    creation_microseconds,
     keepers_of,
     majority,
 )
@@ -45,17 +45,17 @@
 
 
 class FakeMetrics:
-    """Counts nothing."""
+    """Discards all counts."""
 
     def count(self, *_, **__):
         pass
 
 
-class World:
-    """A few keepers under one settable clock; entries claim at all of them."""
+class Cluster:
+    """Keepers that share a simulated clock and claims made at them."""
 
     def __init__(self, names):
-        self.moment = 1000.0
+        self.current_time = 1000.0
         self.members = {}
         self.keepers = {}
         self.names = list(names)
@@ -63,7 +63,7 @@
             self.start(name)
 
     def start(self, name):
-        """Start or restart a keeper: it forgets everything."""
+        """Start or restart a keeper, which loses all its records."""
         members = self.members[name] = FakeMembers()
         self.keepers[name] = Keeper(SimpleNamespace(host=name))
         services = {"members": members, "metrics": FakeMetrics()}
@@ -73,7 +73,7 @@
         members.change(self.names)
 
     def replace(self, old, new):
-        """A host is gone and another one is there, as everyone sees at once."""
+        """Replace a host by another one; all keepers see the change at once."""
         self.names = [name for name in self.names if name != old] + [new]
         del self.keepers[old], self.members[old]
         for name in self.keepers:
@@ -90,7 +90,7 @@
 
 
 def step():
-    """One thing that happens between two claims."""
+    """Return a strategy for one step of a history: a claim, a fault or a wait."""
     return st.one_of(
         st.tuples(st.just("claim"), st.sets(st.integers(0, 4), max_size=2)),
         st.tuples(st.just("restart"), st.integers(0, 4)),
@@ -100,93 +100,96 @@
 
 
 class TestVouchingMajority(unittest.TestCase):
-    """A key runs once within its window."""
+    """A key is granted at most once within its window."""
 
     def setUp(self):
-        self.world = SimpleNamespace(moment=1000.0)
+        self.cluster = SimpleNamespace(current_time=1000.0)
         patch = mock.patch.multiple(
             module,
-            now=lambda: self.world.moment,
-            deadline_after=lambda seconds: self.world.moment + seconds,
+            now=lambda: self.cluster.current_time,
+            deadline_after=lambda seconds: self.cluster.current_time + seconds,
         )
         patch.start()
         self.addCleanup(patch.stop)
 
     def build(self, count):
-        self.world.moment = 1000.0
-        self.world = World([f"h{i}" for i in range(count)])
-        self.world.moment += WINDOW + MARGIN
+        self.cluster.current_time = 1000.0
+        self.cluster = Cluster([f"h{i}" for i in range(count)])
+        self.cluster.current_time += WINDOW + MARGIN
 
     @settings(max_examples=300, deadline=None)
     @given(st.integers(1, 5), st.lists(step(), min_size=2, max_size=14))
     def test_no_history_grants_twice_within_the_window(self, count, steps):
-        # A treasurer repeats a sweep under its key through any node, while
-        # keepers restart with empty memory, are replaced, or cannot be reached.
-        # Within the window from the first try the sweep must not run again.
+        # A caller repeats a request under its key through any node, while keepers
+        # restart without their records, are replaced, or cannot be reached.  The
+        # request must not run again within the window from the first attempt.
         self.build(count)
         granted_at = None
         for number, (kind, what) in enumerate(steps):
             if kind == "claim":
                 unreachable = {f"h{i}" for i in what}
-                if self.world.claim("key", number, unreachable):
-                    recent = granted_at is not None and (self.world.moment - granted_at < WINDOW)
+                if self.cluster.claim("key", number, unreachable):
+                    recent = granted_at is not None and (
+                        self.cluster.current_time - granted_at < WINDOW
+                    )
                     self.assertFalse(recent)
-                    granted_at = self.world.moment
+                    granted_at = self.cluster.current_time
             elif kind == "wait":
-                self.world.moment += what
+                self.cluster.current_time += what
             else:
-                name = sorted(self.world.names)[what % len(self.world.names)]
+                name = sorted(self.cluster.names)[what % len(self.cluster.names)]
                 if kind == "restart":
-                    self.world.start(name)
+                    self.cluster.start(name)
                 else:
-                    self.world.replace(name, f"new{number}")
+                    self.cluster.replace(name, f"new{number}")
 
-    def test_one_dead_keeper_of_three_does_not_stop_bookings(self):
+    def test_one_unreachable_keeper_of_three_does_not_block_claims(self):
         self.build(3)
-        self.assertTrue(self.world.claim("key", 1, unreachable={"h1"}))
-        self.assertFalse(self.world.claim("key", 2))
+        self.assertTrue(self.cluster.claim("key", 1, unreachable={"h1"}))
+        self.assertFalse(self.cluster.claim("key", 2))
 
-    def test_young_keepers_vouch_for_younger_keys_only(self):
-        # Right after all nodes restarted, an opaque key may have run before:
-        # nobody can vouch for it.  A UUID version 7 tells that it is new.
+    def test_restarted_keepers_vouch_only_for_keys_created_later(self):
+        # After a restart of all nodes no keeper can vouch for an opaque key, whose
+        # request may have run before.  A UUID version 7 contains its creation time,
+        # which shows that the key is new.
         self.build(3)
-        for name in list(self.world.names):
-            self.world.start(name)
-        self.world.moment += MARGIN
-        self.assertFalse(self.world.claim("opaque", 1))
+        for name in list(self.cluster.names):
+            self.cluster.start(name)
+        self.cluster.current_time += MARGIN
+        self.assertFalse(self.cluster.claim("opaque", 1))
         with mock.patch.object(module, "wall_microseconds", lambda: 10**15):
-            self.assertTrue(self.world.claim("young", 1, born_us=10**15))
+            self.assertTrue(self.cluster.claim("young", 1, born_us=10**15))
             old = 10**15 - int((WINDOW + MARGIN) * 1e6)
-            self.assertFalse(self.world.claim("old", 1, born_us=old))
+            self.assertFalse(self.cluster.claim("old", 1, born_us=old))
 
     def test_proof_of_not_run_frees_the_key(self):
         self.build(3)
-        self.assertTrue(self.world.claim("key", 1))
-        for keeper in self.world.keepers.values():
+        self.assertTrue(self.cluster.claim("key", 1))
+        for keeper in self.cluster.keepers.values():
             keeper.settle(Settle("s", "key", 2, False))
-        self.assertFalse(self.world.claim("key", 3))
-        for keeper in self.world.keepers.values():
+        self.assertFalse(self.cluster.claim("key", 3))
+        for keeper in self.cluster.keepers.values():
             keeper.settle(Settle("s", "key", 1, False))
-        self.assertTrue(self.world.claim("key", 3))
+        self.assertTrue(self.cluster.claim("key", 3))
 
     def test_memory_is_bounded(self):
         self.build(1)
-        with mock.patch.object(module, "RECORDS_MOST", 5):
-            granted = [self.world.claim(f"key{i}", i) for i in range(8)]
+        with mock.patch.object(module, "MAX_RECORDS", 5):
+            granted = [self.cluster.claim(f"key{i}", i) for i in range(8)]
         self.assertEqual(granted, [True] * 5 + [False] * 3)
-        self.world.moment += WINDOW + module.LONGEST_CALL + 1
-        self.assertTrue(self.world.claim("later", 9))
-        self.assertEqual(len(self.world.keepers["h0"]), 1)
+        self.cluster.current_time += WINDOW + module.MAX_CALL_SECONDS + 1
+        self.assertTrue(self.cluster.claim("later", 9))
+        self.assertEqual(len(self.cluster.keepers["h0"]), 1)
 
 
 class TestKeys(unittest.TestCase):
-    """Reading a key's birth."""
+    """`creation_microseconds`."""
 
-    def test_version_seven_tells_its_birth(self):
+    def test_uuid_version_7_gives_its_creation_time(self):
         with mock.patch("time.time_ns", lambda: 1_700_000_000_123 * 10**6):
             key = new_key(random.Random(1))
-        self.assertEqual(born_microseconds(key), 1_700_000_000_123_000)
+        self.assertEqual(creation_microseconds(key), 1_700_000_000_123_000)
 
     def test_other_keys_are_opaque(self):
         for key in ("abc", str(uuid.UUID(int=5)), ""):
-            self.assertEqual(born_microseconds(key), 0)
+            self.assertEqual(creation_microseconds(key), 0)
--- a/caperstack/node/collector.py
+++ b/caperstack/node/collector.py
@@ -1,21 +1,21 @@
-"""Garbage collection that does not stop the loop."""
+"""Settings of the garbage collector that keep its pauses of the event loop short."""
 
 import gc
 
-__all__ = ["calm_collector"]
+__all__ = ["configure_garbage_collector"]
 
-#: New objects between two runs of the youngest generation's collector.
-COLLECT_AFTER = 20_000
+#: Allocations, less deallocations, between two collections of the youngest generation.
+YOUNG_GENERATION_THRESHOLD = 20_000
 
 
-def calm_collector():
-    """Keep the garbage collector from scanning what is alive for good.
+def configure_garbage_collector():
+    """Exclude the objects that exist now from garbage collection and collect less often.
 
     Notes
     -----
-    What is alive after the start stays alive: scanning it again and again for
-    garbage stops the loop for milliseconds, which shows in the tail.
+    Objects that are alive after the start stay alive.  Scanning them at each
+    collection blocks the event loop for milliseconds and raises the tail latency.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, 20, 50)
+    gc.set_threshold(YOUNG_GENERATION_THRESHOLD, 20, 50)
--- a/caperstack/node/main.py
+++ b/caperstack/node/main.py
@@ -1,4 +1,4 @@
-"""caperstack-node: the process beside each backend server."""
+"""The program caperstack-node, the process that runs beside each backend server."""
 
 import argparse
 import asyncio
@@ -11,7 +11,7 @@
 from caperstack.events.log import LogWriter
 from caperstack.exception import CaperstackError
 from caperstack.node.assemble import assemble
-from caperstack.node.collector import calm_collector
+from caperstack.node.collector import configure_garbage_collector
 from caperstack.node.drain import DrainPlan, drain
 
 __all__ = ["main", "serve"]
@@ -42,7 +42,7 @@
         return file.read()
 
 
-def _log_of(here):
+def _create_log_writer(here):
     descriptor = {"stdout": 1, "stderr": 2}.get(here.log.to)
     return LogWriter(descriptor, here.host, here.log.lines_per_second)
 
@@ -55,17 +55,17 @@
     here : caperstack.config.start.StartSettings
         The start settings.
     stopping : asyncio.Event, optional
-        Set by the signals; a test may set it itself.
+        Starts the drain when set; the signals set it, and tests may do so.
     """
     stopping = stopping or asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
-    log = _log_of(here)
+    log = _create_log_writer(here)
     kernel = assemble(here, log)
     await kernel.start()
     log.state("started", version=__version__)
-    calm_collector()
+    configure_garbage_collector()
     await stopping.wait()
     await drain(kernel, DrainPlan(now(), now(), deadline_after(here.limits.drain_seconds)))
     await kernel.stop()
@@ -73,7 +73,7 @@
 
 
 def main(arguments=None):
-    """Run the command line; return the exit status."""
+    """Run the program with `arguments` and return its exit status."""
     options = _parser().parse_args(arguments)
     try:
         here = parse_start_settings(_read(options.settings))
--- a/caperstack/operators/port.py
+++ b/caperstack/operators/port.py
@@ -17,14 +17,20 @@
 
 
 class OperatorPort:
-    """What an operator can read of one node; nothing can be changed here."""
+    """The read-only HTTP interface of one node for operators.
+
+    Parameters
+    ----------
+    here : object
+        The settings of this node.
+    """
 
     def __init__(self, here):
         self.here = here
         self._port = None
 
     async def start(self, kernel):
-        """Listen."""
+        """Look up the services that this one uses and start listening."""
         self.metrics = kernel.find("metrics")
         self.events = kernel.find("events")
         self._members = kernel.find("members")
@@ -39,14 +45,14 @@
                 "/metrics": self._metrics_page,
                 "/health": self._health_page,
                 "/events": self._events_page,
-                "/members": lambda _: _json_page({"members": self.members_in_words()}),
+                "/members": lambda _: _json_page({"members": self.member_documents()}),
                 "/settings": self._settings_page,
             },
         )
         self._port.listen()
 
     async def stop(self):
-        """Close the port."""
+        """Stop listening."""
         await self._port.close()
 
     def _metrics_page(self, request):
@@ -67,10 +73,10 @@
         return _json_page({"host": self.here.host, "events": events})
 
     def _settings_page(self, _request):
-        return _json_page({"host": self.here.host, "subtrees": self.settings_in_words()})
+        return _json_page({"host": self.here.host, "subtrees": self.settings_documents()})
 
     def health(self):
-        """Return whether this node serves, and its load, as a dict."""
+        """Return the node's status, its load and its connected peers as a dict."""
         load = self._owner.load
         return {
             "host": self.here.host,
@@ -85,8 +91,8 @@
             "peers": self._peers.peers,
         }
 
-    def members_in_words(self):
-        """Return what this node believes of each member, a list of dicts."""
+    def member_documents(self):
+        """Return a list of dicts, one per member, with its state as known to this node."""
         return [
             {
                 "host": member.host,
@@ -104,11 +110,11 @@
         ]
 
     def _expected_ms(self, member):
-        usual = self._dispatcher.baseline_seconds(member.service)
-        return round(member.estimate.expected_seconds(usual) * 1000, 3)
+        baseline = self._dispatcher.baseline_seconds(member.service)
+        return round(member.estimate.expected_seconds(baseline) * 1000, 3)
 
-    def settings_in_words(self):
-        """Return what is in force, since when, from whom, and what was refused."""
+    def settings_documents(self):
+        """Return a list of dicts, one per subtree: revision in force, source, last refusal."""
         return [
             {
                 "path": held.path,
--- a/caperstack/peers/links.py
+++ b/caperstack/peers/links.py
@@ -15,7 +15,7 @@
 
     Parameters
     ----------
-    here : caperstack.config.here.Here
+    here : caperstack.config.node.NodeSettings
         This node's identity and addresses.
     security : PeerSecurity or PlaintextSecurity
         Supplies the TLS context for dialling.
--- a/caperstack/peers/port.py
+++ b/caperstack/peers/port.py
@@ -64,7 +64,7 @@
 
     Parameters
     ----------
-    here : caperstack.config.here.Here
+    here : caperstack.config.node.NodeSettings
         This node's identity and addresses.
     security : PeerSecurity or PlaintextSecurity
         Supplies the TLS context for accepting.
--- a/caperstack/platform/boot.py
+++ b/caperstack/platform/boot.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from caperstack.addresses import split_address
-from caperstack.config.here import Backend, Here, Limits
+from caperstack.config.node import Backend, Limits, NodeSettings
 from caperstack.exception import ConfigurationError
 from caperstack.platform.durations import parse_duration
 from caperstack.platform.names import BOOT_VARIABLE
@@ -85,7 +85,7 @@
 
     Attributes
     ----------
-    here : caperstack.config.here.Here
+    here : caperstack.config.node.NodeSettings
         This node.
     name : str
         The name that the platform gives this host.
@@ -101,7 +101,7 @@
         The interval at which a backend server writes its entry in the store.
     """
 
-    here: Here
+    here: NodeSettings
     name: str
     ready_address: str
     store_address: str
@@ -191,7 +191,7 @@
 
 
 def _here(boot):
-    return Here(
+    return NodeSettings(
         # A backend server's entry in the store has the IP of its host but no name, so nodes
         # identify each other by IP.
         host=boot.ip,
--- a/caperstack/platform/reader.py
+++ b/caperstack/platform/reader.py
@@ -54,7 +54,7 @@
 
     Parameters
     ----------
-    here : caperstack.config.here.Here
+    here : caperstack.config.node.NodeSettings
         This node.
     client : caperstack.platform.store.StoreClient
         The client of the store.
--- a/caperstack/platform/watch.py
+++ b/caperstack/platform/watch.py
@@ -32,7 +32,7 @@
 
     Parameters
     ----------
-    here : caperstack.config.here.Here
+    here : caperstack.config.node.NodeSettings
         This node.
     client : caperstack.platform.store.StoreClient
         The client of the store.
--- a/caperstack/routing/candidates.py
+++ b/caperstack/routing/candidates.py
@@ -20,7 +20,7 @@
 
     Parameters
     ----------
-    here : caperstack.config.here.Here
+    here : caperstack.config.node.NodeSettings
         The identity and location of this node.
     rng : random.Random
         The source of randomness for the choice.
--- a/caperstack/routing/dispatch.py
+++ b/caperstack/routing/dispatch.py
@@ -130,7 +130,9 @@
             if not attempts.left or not self._may_repeat(call, state, outcome):
                 return best
             failed.append(member)
-        return best or NotRun(self._members.lacks(call.service), NO_SERVER_RETRY_SECONDS)
+        return best or NotRun(
+            self._members.unavailable_reason(call.service), NO_SERVER_RETRY_SECONDS
+        )
 
     def _refuse_quarantined(self, call, best):
         """Return the outcome of a call whose request is quarantined."""
@@ -158,7 +160,9 @@
         """
         member = self.candidates.pick_deterministic(call)
         if member is None or not attempts.take():
-            return best or NotRun(self._members.lacks(call.service), NO_SERVER_RETRY_SECONDS)
+            return best or NotRun(
+                self._members.unavailable_reason(call.service), NO_SERVER_RETRY_SECONDS
+            )
         return _better(await self._attempt(call, member, state, True), best)
 
     def _may_repeat(self, call, state, outcome):
--- a/caperstack/settings/neighbours.py
+++ b/caperstack/settings/neighbours.py
@@ -16,7 +16,7 @@
 def ranked(hosts):
     """Return host names in a deterministic order that is the same on every node."""
     order = HostOrder(hosts)
-    return [order.at(place) for place in range(len(order))]
+    return [order.at(index) for index in range(len(order))]
 
 
 def is_reader(host, zone_hosts):
@@ -59,10 +59,10 @@
 
 
 def _parents(host, order, first_hosts):
-    rank = order.place(host)
+    rank = order.index(host)
     if rank < READERS_PER_ZONE:
         yield from (
-            order.at(place) for place in range(min(READERS_PER_ZONE, len(order))) if place != rank
+            order.at(index) for index in range(min(READERS_PER_ZONE, len(order))) if index != rank
         )
         yield from sorted(first_hosts)
         return
@@ -71,7 +71,7 @@
     yield order.at(first)
     if second != first:
         yield order.at(second)
-    yield from (order.at(place) for place in range(rank) if place not in (first, second))
+    yield from (order.at(index) for index in range(rank) if index not in (first, second))
 
 
 class Topology:
@@ -100,7 +100,7 @@
     @property
     def reads(self):
         """Whether this node is a reader of its zone."""
-        return self._own_zone.place(self._here.host) < READERS_PER_ZONE
+        return self._own_zone.index(self._here.host) < READERS_PER_ZONE
 
     def parents(self):
         """Yield the hosts to dial for settings, in order of preference; see `parents_of`."""
@@ -114,8 +114,8 @@
     def nearest_successors(self, hosts, count):
         """Return up to `count` of `hosts`, the first that follow this one in the order of all."""
         size = len(self._ring)
-        own = self._ring.place(self._here.host)
-        return sorted(hosts, key=lambda host: (self._ring.place(host) - own) % size)[:count]
+        own = self._ring.index(self._here.host)
+        return sorted(hosts, key=lambda host: (self._ring.index(host) - own) % size)[:count]
 
     @property
     def rank(self):
@@ -126,7 +126,7 @@
         The first ranks are in different zones, so when a zone is partitioned with all
         readers in it, the reader next in rank is not cut off with the first.
         """
-        own = self._own_zone.place(self._here.host)
+        own = self._own_zone.index(self._here.host)
         others = [(z, len(order)) for z, order in self._zones.items() if z != self._here.zone]
         earlier = sum(size > own and zone < self._here.zone for zone, size in others)
         return own + earlier + sum(min(size, own) for _, size in others)
--- a/caperstack/settings/sync.py
+++ b/caperstack/settings/sync.py
@@ -80,7 +80,7 @@
 
     Parameters
     ----------
-    here : caperstack.config.here.Here
+    here : caperstack.config.node.NodeSettings
         This node.
     restores : caperstack.settings.restores.Restores, optional
         Tracks the era of the platform's revisions, which is sent with each announced
