--- a/caperstack/bench/demo.py
+++ b/caperstack/bench/demo.py
@@ -7,7 +7,7 @@
 
 from caperstack.bench.examples import example_fleet, example_mix
 from caperstack.clock import wall_microseconds
-from caperstack.events.timeline import fetch_events, merged, text_lines
+from caperstack.events.timeline import fetch_events, format_events, merge_events
 from caperstack.load.generator import run_calls
 from caperstack.load.ledger import judge, merged_ledger
 from caperstack.load.plan import parse_mix, plan_calls
@@ -45,10 +45,10 @@
 
 async def _show_timeline(fleet, since):
     addresses = [node["operator_address"] for node in fleet.settings.values()]
-    events = merged(await fetch_events(addresses, f"?after={since}"))
+    events = merge_events(await fetch_events(addresses, f"?after={since}"))
     shown = min(FIRST_LINES, len(events))
     print(f"\nTime line, the first {shown} of {len(events)} events since calls began:")
-    for line in text_lines(events[:FIRST_LINES]):
+    for line in format_events(events[:FIRST_LINES]):
         print(line)
 
 
--- a/caperstack/events/causes_main.py
+++ b/caperstack/events/causes_main.py
@@ -5,7 +5,7 @@
 import sys
 
 from caperstack import __version__
-from caperstack.events.causes import read_stories, windows_of
+from caperstack.events.causes import read_traces, split_into_windows
 
 __all__ = ["main"]
 
@@ -48,17 +48,17 @@
 
 def _table(title, windows):
     """Yield the lines that tell what was lost in `windows` together."""
-    asked = sum(window.asked for window in windows)
-    owed = sum(window.owed for window in windows)
-    lost = sum((window.lost for window in windows), start=type(windows[0].lost)())
-    counts = sum((window.counts for window in windows), start=type(lost)())
-    full = sum((window.full for window in windows), start=type(lost)())
-    credit = 1 - sum(lost.values()) / owed if owed else 1.0
-    yield f"{title}: {asked} requests, credit {credit:.3f}"
-    for (route, cause), worth in lost.most_common(CAUSES_SHOWN):
-        share = worth / owed if owed else 0.0
+    request_count = sum(window.request_count for window in windows)
+    worth_offered = sum(window.worth_offered for window in windows)
+    worth_lost = sum((window.worth_lost for window in windows), start=type(windows[0].worth_lost)())
+    counts = sum((window.counts for window in windows), start=type(worth_lost)())
+    slot_refusals = sum((window.slot_refusals for window in windows), start=type(worth_lost)())
+    credit = 1 - sum(worth_lost.values()) / worth_offered if worth_offered else 1.0
+    yield f"{title}: {request_count} requests, credit {credit:.3f}"
+    for (route, cause), worth in worth_lost.most_common(CAUSES_SHOWN):
+        share = worth / worth_offered if worth_offered else 0.0
         yield f"  {share:6.3f} of the worth, {counts[route, cause]:6} requests  {route}  {cause}"
-    for what, count in full.most_common():
+    for what, count in slot_refusals.most_common():
         yield f"  {count:6} refusals for want of a slot: {what}"
 
 
@@ -68,17 +68,17 @@
     try:
         worths = _worths(options.worth)
         with fileinput.input(options.logs or ("-",), encoding="utf-8", errors="replace") as lines:
-            stories, left_out = read_stories(lines)
+            traces, left_out = read_traces(lines)
     except (OSError, ValueError) as error:
         print(f"caperstack-causes: {error}", file=sys.stderr)
         return EXIT_BAD_ARGUMENTS
-    windows = windows_of(stories, options.seconds, worths)
+    windows = split_into_windows(traces, options.seconds, worths)
     if not windows:
         print("caperstack-causes: no request's end in these lines", file=sys.stderr)
         return EXIT_BAD_ARGUMENTS
     print("\n".join(_table("all", windows)))
     for window in sorted(windows, key=lambda window: window.credit)[: options.worst]:
-        print("\n".join(_table(f"from {window.begins:g} s", [window])))
+        print("\n".join(_table(f"from {window.start_seconds:g} s", [window])))
     print(f"{left_out} lines were left out by the nodes to keep the log bounded")
     return 0
 
--- a/caperstack/events/picture.py
+++ b/caperstack/events/html_page.py
@@ -5,13 +5,13 @@
 __all__ = ["html_page"]
 
 LANE_HEIGHT = 46
-TOP = 40
-LEFT = 150
-WIDTH = 1500
-DOT = 4
+TOP_MARGIN = 40
+LEFT_MARGIN = 150
+AXIS_WIDTH = 1500
+DOT_RADIUS = 4
 
 _COLOURS = {"state": "#8a5a00", "entry": "#1f5fa8", "owner": "#2c7a3f", "peer": "#a33"}
-_OTHER = "#555"
+_OTHER_COLOUR = "#555"
 
 _PAGE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>caperstack time line</title><style>
@@ -31,7 +31,7 @@
     Parameters
     ----------
     events : list of dict
-        Events in causal order, as `caperstack.events.timeline.merged` gives them.
+        Events in causal order, as `caperstack.events.timeline.merge_events` gives them.
     """
     hosts = sorted({event["host"] for event in events})
     start = events[0]["clock"] if events else 0
@@ -46,27 +46,29 @@
 
 
 def _svg(events, hosts, start, span):
-    height = TOP + LANE_HEIGHT * len(hosts)
-    parts = [f'<svg width="{LEFT + WIDTH + 40}" height="{height}" role="img">']
-    lanes = {host: TOP + LANE_HEIGHT * number for number, host in enumerate(hosts)}
+    height = TOP_MARGIN + LANE_HEIGHT * len(hosts)
+    parts = [f'<svg width="{LEFT_MARGIN + AXIS_WIDTH + 40}" height="{height}" role="img">']
+    lanes = {host: TOP_MARGIN + LANE_HEIGHT * number for number, host in enumerate(hosts)}
     for host, y in lanes.items():
         parts.append(f'<text x="4" y="{y + 4}">{html.escape(host)}</text>')
-        parts.append(f'<line x1="{LEFT}" x2="{LEFT + WIDTH}" y1="{y}" y2="{y}" stroke="#ccc"/>')
+        parts.append(
+            f'<line x1="{LEFT_MARGIN}" x2="{LEFT_MARGIN + AXIS_WIDTH}" y1="{y}" y2="{y}" stroke="#ccc"/>'
+        )
     for tick in range(11):
-        x = LEFT + WIDTH * tick / 10
+        x = LEFT_MARGIN + AXIS_WIDTH * tick / 10
         seconds = span * tick / 10 / 1e6
         parts.append(f'<text x="{x:.0f}" y="16" text-anchor="middle">{seconds:.3f} s</text>')
-    parts.extend(_arrows(events, lanes, start, span))
+    parts.extend(_connecting_lines(events, lanes, start, span))
     parts.extend(_dot(event, lanes, start, span) for event in events)
     parts.append("</svg>")
     return "".join(parts)
 
 
-def _x(event, start, span):
-    return LEFT + WIDTH * (event["clock"] - start) / span
+def _x_position(event, start, span):
+    return LEFT_MARGIN + AXIS_WIDTH * (event["clock"] - start) / span
 
 
-def _arrows(events, lanes, start, span):
+def _connecting_lines(events, lanes, start, span):
     """Yield a line between events of one request that follow each other on two hosts."""
     last = {}
     for event in events:
@@ -74,17 +76,17 @@
         before = last.get(name)
         if name and before is not None and before["host"] != event["host"]:
             yield (
-                f'<line x1="{_x(before, start, span):.1f}" y1="{lanes[before["host"]]}" '
-                f'x2="{_x(event, start, span):.1f}" y2="{lanes[event["host"]]}" stroke="#bbd"/>'
+                f'<line x1="{_x_position(before, start, span):.1f}" y1="{lanes[before["host"]]}" '
+                f'x2="{_x_position(event, start, span):.1f}" y2="{lanes[event["host"]]}" stroke="#bbd"/>'
             )
         last[name] = event
 
 
 def _dot(event, lanes, start, span):
-    colour = _COLOURS.get(event["kind"], _OTHER)
+    colour = _COLOURS.get(event["kind"], _OTHER_COLOUR)
     title = html.escape(f"{event['host']} {event['kind']} {event['request_id']} {event['text']}")
     return (
-        f'<circle cx="{_x(event, start, span):.1f}" cy="{lanes[event["host"]]}" r="{DOT}" '
+        f'<circle cx="{_x_position(event, start, span):.1f}" cy="{lanes[event["host"]]}" r="{DOT_RADIUS}" '
         f'fill="{colour}"><title>{title}</title></circle>'
     )
 
--- a/caperstack/events/allowance.py
+++ b/caperstack/events/line_limits.py
@@ -4,17 +4,17 @@
 
 from caperstack.clock import now
 
-__all__ = ["LineAllowance", "Omissions"]
+__all__ = ["DroppedLines", "LineRateLimiter"]
 
 #: The length of the span that lines are bounded in, in seconds.
-SPAN_SECONDS = 1.0
+WINDOW_SECONDS = 1.0
 
-#: Labels that omitted lines are counted under; further ones share `OTHERS`.
-LABELS_MOST = 50
-OTHERS = "others"
+#: Labels that omitted lines are counted under; further ones share `OTHER_LABELS`.
+MAX_LABELS = 50
+OTHER_LABELS = "others"
 
 
-class LineAllowance:
+class LineRateLimiter:
     """A bound on lines in each span of a second.
 
     Parameters
@@ -24,20 +24,20 @@
     """
 
     def __init__(self, most):
-        self._most = most
-        self._written = 0
-        self._span_ends = 0.0
+        self._max_per_second = most
+        self._lines_in_window = 0
+        self._window_end = 0.0
 
-    def take(self):
+    def allow_line(self):
         """Take one line; return whether the bound allows it."""
-        if now() >= self._span_ends:
-            self._span_ends = now() + SPAN_SECONDS
-            self._written = 0
-        self._written += 1
-        return self._written <= self._most
+        if now() >= self._window_end:
+            self._window_end = now() + WINDOW_SECONDS
+            self._lines_in_window = 0
+        self._lines_in_window += 1
+        return self._lines_in_window <= self._max_per_second
 
 
-class Omissions:
+class DroppedLines:
     """Counts of the lines that were left out, told once a second at most.
 
     Attributes
@@ -48,21 +48,21 @@
 
     def __init__(self):
         self._counts = Counter()
-        self._due_at = 0.0
+        self._report_at = 0.0
         self.total = 0
 
     def add(self, label):
         """Count a line that was left out."""
         if not self._counts:
-            self._due_at = now() + SPAN_SECONDS
-        if label not in self._counts and len(self._counts) >= LABELS_MOST:
-            label = OTHERS
+            self._report_at = now() + WINDOW_SECONDS
+        if label not in self._counts and len(self._counts) >= MAX_LABELS:
+            label = OTHER_LABELS
         self._counts[label] += 1
         self.total += 1
 
-    def take_due(self):
+    def pop_due_counts(self):
         """Return the counts by label if it is time to tell them, else an empty dict."""
-        if not self._counts or now() < self._due_at:
+        if not self._counts or now() < self._report_at:
             return {}
         counts, self._counts = self._counts, Counter()
         return dict(counts)
--- a/caperstack/events/log.py
+++ b/caperstack/events/log.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from caperstack.clock import wall_microseconds
-from caperstack.events.allowance import LineAllowance, Omissions
+from caperstack.events.line_limits import DroppedLines, LineRateLimiter
 
 __all__ = ["LINES_PER_SECOND", "LogWriter"]
 
@@ -26,13 +26,13 @@
 
 #: Reasons of refusals that are told apart, and how much of a reason is told in a
 #: count of omitted lines, in characters.
-REASONS_MOST = 100
-REASON_LENGTH = 60
+MAX_REASONS = 100
+MAX_REASON_LENGTH = 60
 
-OMISSIONS_KIND = "lines left out"
+DROPPED_LINES_KIND = "lines left out"
 
 #: Lines that wait for a reader that is slow; at 300 bytes each, 150 kB.
-WAITING_MOST = 500
+MAX_BUFFERED_LINES = 500
 
 _encoder = msgspec.json.Encoder(enc_hook=str)
 
@@ -64,74 +64,74 @@
     def __init__(self, descriptor, host="", lines_per_second=LINES_PER_SECOND):
         self._descriptor = descriptor
         self._host = host
-        self._requests = LineAllowance(lines_per_second)
-        self._states = LineAllowance(STATE_LINES_PER_SECOND)
-        self._failures = LineAllowance(FAILURE_LINES_PER_SECOND)
-        self._refusals = defaultdict(partial(LineAllowance, REFUSAL_LINES_PER_SECOND))
-        self._omissions = Omissions()
-        self._untold = 0
-        self._waiting = deque()
-        self._rest = b""
+        self._requests = LineRateLimiter(lines_per_second)
+        self._states = LineRateLimiter(STATE_LINES_PER_SECOND)
+        self._failures = LineRateLimiter(FAILURE_LINES_PER_SECOND)
+        self._refusals = defaultdict(partial(LineRateLimiter, REFUSAL_LINES_PER_SECOND))
+        self._dropped = DroppedLines()
+        self._unreported_drops = 0
+        self._buffer = deque()
+        self._partial_line = b""
         if descriptor is not None:
             os.set_blocking(descriptor, False)
 
     @property
-    def omitted(self):
+    def dropped_count(self):
         """How many lines were left out since the start."""
-        return self._omissions.total
+        return self._dropped.total
 
     def line(self, kind, **fields):
         """Write a line about a step of a request, if the bound allows."""
-        self._bounded(self._requests, kind, kind, fields)
+        self._write_limited(self._requests, kind, kind, fields)
 
     def state(self, kind, **fields):
         """Write a line about what this process believes, or about its start and stop."""
-        self._bounded(self._states, kind, kind, fields)
+        self._write_limited(self._states, kind, kind, fields)
 
     def failure(self, kind, **fields):
         """Write the line that tells how a request failed."""
-        self._bounded(self._failures, kind, kind, fields)
+        self._write_limited(self._failures, kind, kind, fields)
 
     def refusal(self, kind, reason, **fields):
         """Write a line about a refusal, if the bounds of its reason and of requests allow."""
-        label = f"{kind}: {reason[:REASON_LENGTH]}"
-        if label not in self._refusals and len(self._refusals) >= REASONS_MOST:
+        label = f"{kind}: {reason[:MAX_REASON_LENGTH]}"
+        if label not in self._refusals and len(self._refusals) >= MAX_REASONS:
             label = kind
-        if self._refusals[label].take():
-            self._bounded(self._requests, label, kind, {"reason": reason} | fields)
+        if self._refusals[label].allow_line():
+            self._write_limited(self._requests, label, kind, {"reason": reason} | fields)
         else:
-            self._omit(label)
+            self._drop(label)
 
-    def tell_omissions(self):
+    def log_dropped_counts(self):
         """Write a line that counts what was left out, if one is due."""
-        counts = self._omissions.take_due()
+        counts = self._dropped.pop_due_counts()
         if counts:
-            self._write(OMISSIONS_KIND, {"counts": counts})
+            self._write(DROPPED_LINES_KIND, {"counts": counts})
 
-    def _bounded(self, allowance, label, kind, fields):
+    def _write_limited(self, limiter, label, kind, fields):
         if self._descriptor is None:
             return
-        self.tell_omissions()
-        if allowance.take() and len(self._waiting) < WAITING_MOST:
+        self.log_dropped_counts()
+        if limiter.allow_line() and len(self._buffer) < MAX_BUFFERED_LINES:
             self._write(kind, fields)
         else:
-            self._omit(label)
+            self._drop(label)
 
-    def _omit(self, label):
-        self._untold += 1
-        self._omissions.add(label)
+    def _drop(self, label):
+        self._unreported_drops += 1
+        self._dropped.add(label)
 
     def _write(self, kind, fields):
         head = {"at_us": wall_microseconds(), "host": self._host, "kind": kind}
-        if self._untold:
-            head["lines_left_out"] = self._untold
-            self._untold = 0
-        self._waiting.append(_encoder.encode(head | fields) + b"\n")
+        if self._unreported_drops:
+            head["lines_left_out"] = self._unreported_drops
+            self._unreported_drops = 0
+        self._buffer.append(_encoder.encode(head | fields) + b"\n")
         self._flush()
 
     def _flush(self):
-        while self._rest or self._waiting:
-            data = self._rest or self._waiting.popleft()
+        while self._partial_line or self._buffer:
+            data = self._partial_line or self._buffer.popleft()
             try:
                 written = os.write(self._descriptor, data)
             except BlockingIOError:
@@ -140,6 +140,6 @@
                 # Nobody reads any more: there is nowhere left to say so.
                 self._descriptor = None
                 return
-            self._rest = data[written:]
-            if self._rest:
+            self._partial_line = data[written:]
+            if self._partial_line:
                 return
--- a/caperstack/events/main.py
+++ b/caperstack/events/main.py
@@ -6,12 +6,12 @@
 from urllib.parse import urlencode
 
 from caperstack import __version__
-from caperstack.events.picture import html_page
-from caperstack.events.timeline import fetch_events, merged, text_lines
+from caperstack.events.html_page import html_page
+from caperstack.events.timeline import fetch_events, format_events, merge_events
 
 __all__ = ["main"]
 
-EXIT_NOTHING = 1
+EXIT_NO_EVENTS = 1
 
 
 def _parser():
@@ -29,7 +29,7 @@
     return parser
 
 
-def _wanted(event, options):
+def _matches(event, options):
     return options.host in ("", event["host"]) and options.kind in ("", event["kind"])
 
 
@@ -37,18 +37,18 @@
     """Run the command line; return the exit status."""
     options = _parser().parse_args(arguments)
     query = urlencode({"request_id": options.request_id, "service": options.service})
-    parts = asyncio.run(fetch_events(options.operators, f"?{query}"))
-    for part in parts:
-        if part.problem:
-            print(f"caperstack-timeline: {part.address}: {part.problem}", file=sys.stderr)
-    events = [event for event in merged(parts) if _wanted(event, options)]
+    host_events = asyncio.run(fetch_events(options.operators, f"?{query}"))
+    for part in host_events:
+        if part.error:
+            print(f"caperstack-timeline: {part.address}: {part.error}", file=sys.stderr)
+    events = [event for event in merge_events(host_events) if _matches(event, options)]
     if options.html:
         with open(options.html, "w", encoding="utf-8") as file:
             file.write(html_page(events))
     else:
-        for line in text_lines(events):
+        for line in format_events(events):
             print(line)
-    return 0 if events else EXIT_NOTHING
+    return 0 if events else EXIT_NO_EVENTS
 
 
 if __name__ == "__main__":
--- a/caperstack/events/ring.py
+++ b/caperstack/events/ring.py
@@ -11,17 +11,17 @@
 __all__ = ["Event", "EventRing", "HybridClock"]
 
 #: At some 300 bytes an event, 1 MB at the most.
-RING_EVENTS = 3000
+MAX_EVENTS = 3000
 
 #: A call slower than this, in seconds, is told in events though it succeeded.
-SLOW_SECONDS = 0.25
+SLOW_CALL_SECONDS = 0.25
 
 #: One call in this many is told in any case.
-SAMPLE_ONE_IN = 1000
+SAMPLE_INTERVAL_CALLS = 1000
 
 
 #: How often the log tells what it left out, in seconds.
-OMISSIONS_SECONDS = 1.0
+DROPPED_LINES_SECONDS = 1.0
 
 
 class HybridClock:
@@ -35,7 +35,7 @@
 
     def __init__(self):
         self._last = 0
-        self.ahead = 0
+        self.max_ahead_us = 0
 
     def tick(self):
         """Return the next point; later than all before it."""
@@ -46,7 +46,7 @@
         """Take over a peer's point; the next one here is later."""
         if remote > self._last:
             self._last = remote
-            self.ahead = max(self.ahead, remote - wall_microseconds())
+            self.max_ahead_us = max(self.max_ahead_us, remote - wall_microseconds())
 
 
 @dataclass(slots=True)
@@ -71,7 +71,7 @@
     The ring tells of calls only when they were slow, went wrong, or by sample.
     """
 
-    def __init__(self, host, log=None, events=RING_EVENTS):
+    def __init__(self, host, log=None, events=MAX_EVENTS):
         self._host = host
         self._log = log or LogWriter(None)
         self._ring = deque(maxlen=events)
@@ -81,17 +81,17 @@
 
     async def start(self, kernel):
         """Tell each second which log lines were left out."""
-        self._task = asyncio.create_task(self._tell_omissions())
+        self._task = asyncio.create_task(self._log_dropped_counts())
 
     async def stop(self):
         """Stop telling."""
         if self._task is not None:
             self._task.cancel()
 
-    async def _tell_omissions(self):
+    async def _log_dropped_counts(self):
         while True:
-            await asyncio.sleep(OMISSIONS_SECONDS)
-            self._log.tell_omissions()
+            await asyncio.sleep(DROPPED_LINES_SECONDS)
+            self._log.log_dropped_counts()
 
     def add(self, kind, text, request_id="", service="", ago=0.0):
         """Add an event that happened `ago` seconds before now."""
@@ -130,23 +130,23 @@
         """Tell a call's story if it is worth telling."""
         self._calls += 1
         elapsed = now() - begun
-        fine = isinstance(outcome, Answered) and outcome.status < 500
+        successful = isinstance(outcome, Answered) and outcome.status < 500
         # The caller's node keeps a line of each failure: the way from a request's
         # id to its cause begins there.
-        write = self._log.line if fine or role != "entry" else self._log.failure
+        write = self._log.line if successful or role != "entry" else self._log.failure
         write(
             f"{role} outcome",
             id=call.request_id,
-            outcome=_ending(outcome, elapsed),
+            outcome=_describe_outcome(outcome, elapsed),
             left_ms=round((call.deadline - now()) * 1000),
             objective_ms=round(((call.objective_at or call.deadline) - now()) * 1000),
         )
-        if fine and elapsed < SLOW_SECONDS and self._calls % SAMPLE_ONE_IN:
+        if successful and elapsed < SLOW_CALL_SECONDS and self._calls % SAMPLE_INTERVAL_CALLS:
             return
         moment = now()
         for point, text in call.notes:
             self.add(role, text, call.request_id, call.service, moment - point)
-        self.add(role, _ending(outcome, elapsed), call.request_id, call.service)
+        self.add(role, _describe_outcome(outcome, elapsed), call.request_id, call.service)
 
     def since(self, clock=0, request_id="", service=""):
         """Return the events after `clock` as dicts, filtered."""
@@ -159,7 +159,7 @@
         ]
 
 
-def _ending(outcome, elapsed):
+def _describe_outcome(outcome, elapsed):
     took = f"after {elapsed * 1000:.1f} ms"
     if isinstance(outcome, Answered):
         return f"answered {outcome.status} {took}"
--- a/caperstack/events/tests/test_causes.py
+++ b/caperstack/events/tests/test_causes.py
@@ -6,7 +6,7 @@
 import tempfile
 import unittest
 
-from caperstack.events.causes import read_stories, windows_of
+from caperstack.events.causes import read_traces, split_into_windows
 from caperstack.events.causes_main import main
 
 
@@ -24,12 +24,12 @@
 
 
 def cause(*lines):
-    stories, _ = read_stories(lines)
-    return stories["r1"].cause
+    traces, _ = read_traces(lines)
+    return traces["r1"].cause
 
 
 class TestCauses(unittest.TestCase):
-    """`Story.cause`."""
+    """`RequestTrace.cause`."""
 
     def test_in_time_has_no_cause(self):
         self.assertEqual(cause(sends(0), outcome(50, "answered 200 after 50.0 ms")), "")
@@ -54,7 +54,7 @@
 
 
 class TestWindows(unittest.TestCase):
-    """`windows_of` and the command line."""
+    """`split_into_windows` and the command line."""
 
     lines = (
         "12.3 node-1 " + outcome(0, "answered 200 after 5.0 ms", "a"),
@@ -66,10 +66,10 @@
     )
 
     def test_worth_lost_by_window(self):
-        stories, left_out = read_stories(self.lines)
-        first, second = windows_of(stories, 2.0, {})
+        traces, left_out = read_traces(self.lines)
+        first, second = split_into_windows(traces, 2.0, {})
         self.assertEqual(left_out, 7)
-        self.assertEqual((first.asked, second.asked), (2, 1))
+        self.assertEqual((first.request_count, second.request_count), (2, 1))
         self.assertAlmostEqual(first.credit, 0.55)
         self.assertAlmostEqual(second.credit, 0.0)
 
--- a/caperstack/events/tests/test_log.py
+++ b/caperstack/events/tests/test_log.py
@@ -7,12 +7,12 @@
 from unittest import mock
 
 from caperstack.clock import now
-from caperstack.events import allowance
+from caperstack.events import line_limits
 from caperstack.events.log import (
+    DROPPED_LINES_KIND,
     FAILURE_LINES_PER_SECOND,
-    OMISSIONS_KIND,
+    MAX_BUFFERED_LINES,
     REFUSAL_LINES_PER_SECOND,
-    WAITING_MOST,
     LogWriter,
 )
 
@@ -38,19 +38,19 @@
         # A burst of refusals must not turn into a burst of log lines that
         # takes the processor from the calls that are still served.
         clock = 10.0
-        with mock.patch.object(allowance, "now", lambda: clock):
+        with mock.patch.object(line_limits, "now", lambda: clock):
             log = LogWriter(self.writing, "h1", lines_per_second=5)
             for number in range(20):
                 log.line("x", number=number)
         self.assertEqual(len(self.lines()), 5)
-        self.assertEqual(log.omitted, 15)
+        self.assertEqual(log.dropped_count, 15)
 
     def test_the_next_line_tells_how_many_are_missing(self):
         log = LogWriter(self.writing, "h1", lines_per_second=1)
-        with mock.patch.object(allowance, "now", lambda: 0.0):
+        with mock.patch.object(line_limits, "now", lambda: 0.0):
             log.line("x")
             log.line("x")
-        with mock.patch.object(allowance, "now", lambda: 1e12):
+        with mock.patch.object(line_limits, "now", lambda: 1e12):
             log.line("x")
         self.assertEqual(self.lines()[1]["lines_left_out"], 1)
 
@@ -68,19 +68,19 @@
     def test_storm_of_one_refusal_leaves_room_for_others(self):
         """A rare reason of refusal is told beside a frequent one, and the rest are counted."""
         clock = [10.0]
-        with mock.patch.object(allowance, "now", lambda: clock[0]):
+        with mock.patch.object(line_limits, "now", lambda: clock[0]):
             log = LogWriter(self.writing, "h1")
             for number in range(200):
                 log.refusal("owner refuses", "no slot in time", id=str(number))
             log.refusal("owner refuses", "node was paused", id="rare")
             clock[0] += 1.5
-            log.tell_omissions()
+            log.log_dropped_counts()
         lines = self.lines()
         reasons = Counter(line.get("reason") for line in lines)
         self.assertEqual(reasons["no slot in time"], REFUSAL_LINES_PER_SECOND)
         self.assertEqual(reasons["node was paused"], 1)
         counts = {"owner refuses: no slot in time": 200 - REFUSAL_LINES_PER_SECOND}
-        self.assertEqual([n["counts"] for n in lines if n["kind"] == OMISSIONS_KIND], [counts])
+        self.assertEqual([n["counts"] for n in lines if n["kind"] == DROPPED_LINES_KIND], [counts])
 
     def test_failed_requests_are_told_beside_a_storm_of_other_lines(self):
         """A caller asks why its request failed, and no node has a line with its id."""
@@ -101,7 +101,7 @@
         for _ in range(2000):
             log.line("x", text="y" * 500)
         self.assertLess(now() - began, 5.0)
-        self.assertGreater(log.omitted, 2000 - WAITING_MOST - 200)
+        self.assertGreater(log.dropped_count, 2000 - MAX_BUFFERED_LINES - 200)
 
     def test_cut_lines_go_on_where_they_stopped(self):
         log = LogWriter(self.writing, "h1", lines_per_second=10**9)
--- a/caperstack/events/timeline.py
+++ b/caperstack/events/timeline.py
@@ -6,7 +6,7 @@
 
 from caperstack.bench.client import request
 
-__all__ = ["HostEvents", "fetch_events", "merged", "text_lines"]
+__all__ = ["HostEvents", "fetch_events", "format_events", "merge_events"]
 
 FETCH_SECONDS = 5.0
 
@@ -17,10 +17,10 @@
 
     address: str
     events: list
-    problem: str = ""
+    error: str = ""
 
 
-async def _fetch_one(address, query):
+async def _fetch_host_events(address, query):
     try:
         reply = await request(address, "GET", f"/events{query}", seconds=FETCH_SECONDS)
         return HostEvents(address, json.loads(reply.body)["events"])
@@ -31,10 +31,10 @@
 
 async def fetch_events(addresses, query=""):
     """Return the `HostEvents` of each operator port."""
-    return await asyncio.gather(*(_fetch_one(address, query) for address in addresses))
+    return await asyncio.gather(*(_fetch_host_events(address, query) for address in addresses))
 
 
-def merged(parts):
+def merge_events(host_events):
     """Return all events in causal order.
 
     Notes
@@ -43,11 +43,11 @@
     node: an effect never stands before its cause, however far apart the
     hosts' wall clocks are.
     """
-    events = [event for part in parts for event in part.events]
+    events = [event for part in host_events for event in part.events]
     return sorted(events, key=lambda event: (event["clock"], event["host"]))
 
 
-def text_lines(events):
+def format_events(events):
     """Yield a line of text for each event.
 
     Notes
--- a/caperstack/tests/test_commands.py
+++ b/caperstack/tests/test_commands.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 from caperstack.bench.examples import EXAMPLES
-from caperstack.events.picture import html_page
-from caperstack.events.timeline import HostEvents, merged, text_lines
+from caperstack.events.html_page import html_page
+from caperstack.events.timeline import HostEvents, format_events, merge_events
 from caperstack.load import main as load
 from caperstack.node import main as node
 from caperstack.settings import main as settings
@@ -103,7 +103,7 @@
         # have run the call before the entry sent it.
         entry = HostEvents("a", [self.event("entry", 10_000_000, 10_000_000, "sent")])
         owner = HostEvents("b", [self.event("owner", 10_000_001, 9_000_000, "ran")])
-        lines = list(text_lines(merged([owner, entry])))
+        lines = list(format_events(merge_events([owner, entry])))
         self.assertIn("sent", lines[0])
         self.assertIn("clock 1000.0 ms behind", lines[1])
 
