--- a/caperstack/events/__init__.py
+++ b/caperstack/events/__init__.py
@@ -1,1 +1,1 @@
-"""Events of a node, and the time line of many."""
+"""Events and log lines of a node, and tools that join those of many nodes."""
--- a/caperstack/events/causes.py
+++ b/caperstack/events/causes.py
@@ -1,4 +1,4 @@
-"""Why callers were refused, late or failed, joined from the log lines of all nodes."""
+"""Find out from the log lines of all nodes why requests were refused, late or failed."""
 
 import json
 import re
@@ -7,13 +7,13 @@
 
 __all__ = ["RequestTrace", "Window", "read_traces", "split_into_windows"]
 
-#: Each line of a node's log begins so; whatever a collector puts before it is skipped.
+#: How each log line of a node begins; any prefix of a log collector is skipped.
 LINE_START = '{"at_us"'
 
-#: A host on which work takes this many times the usual counts as slowed in the table.
+#: A host on which work takes at least this many times the usual counts as slowed.
 SLOWED_PACE = 1.8
 
-#: What an answer that came late is worth, as a share of one in time.
+#: Worth of a late answer, as a share of the worth of one in time.
 LATE_WORTH = 0.1
 
 _OUTCOME = re.compile(r"(answered|not run|unknown)(?: (\d+))?(?: \((.*)\))? after ([\d.]+) ms")
@@ -21,40 +21,40 @@
 
 @dataclass(slots=True)
 class RequestTrace:
-    """What the nodes logged of one request.
+    """The log lines of one request, from all nodes.
 
     Attributes
     ----------
     lines : list of dict
-        In the order of their time.
+        Log lines in order of time.
     """
 
     lines: list = field(default_factory=list)
 
     def lines_of(self, kind):
-        """Return the lines of that kind."""
+        """Return the lines of `kind`."""
         return [line for line in self.lines if line["kind"] == kind]
 
     @property
     def reported_at_us(self):
-        """When the caller was told, in microseconds since 1970; ``None`` if no line says."""
+        """When the caller got the outcome, in microseconds since 1970; ``None`` if not logged."""
         outcomes = self.lines_of("entry outcome")
         return outcomes[-1]["at_us"] if outcomes else None
 
     @property
     def route(self):
-        """The route, or ``"?"`` if the lines that name it were left out."""
+        """The route, or ``"?"`` if the lines that name it were dropped."""
         return next((line["route"] for line in self.lines if "route" in line), "?")
 
     @property
     def cause(self):
-        """Why the caller was not answered in time, in a few words; empty if it was."""
+        """Why the request was not answered in time, in a few words; empty if it was."""
         outcome = self.lines_of("entry outcome")[-1]
         match = _OUTCOME.match(outcome["outcome"])
-        ending, status, reason = match[1], match[2], match[3]
-        if ending == "not run":
+        result, status, reason = match[1], match[2], match[3]
+        if result == "not run":
             return f"refused {self._refusal_stage()}: {reason}"
-        if ending == "unknown":
+        if result == "unknown":
             return f"failed: {reason}"
         if int(status) >= 500:
             return f"failed: the backend server answered {status}"
@@ -62,7 +62,7 @@
 
     @property
     def late(self):
-        """Whether it was answered, but not in time."""
+        """Whether the request was answered, but not in time."""
         return self.cause.startswith("late")
 
     def _refusal_stage(self):
@@ -72,10 +72,10 @@
 
     def _lateness_cause(self):
         sends = self.lines_of("owner sends")
-        waited = self._waited_ms()
+        waited_ms = self._waited_ms()
         if len(sends) > 1:
             return "late: sent more than once"
-        if waited > -self.lines_of("entry outcome")[-1]["objective_ms"]:
+        if waited_ms > -self.lines_of("entry outcome")[-1]["objective_ms"]:
             return "late: by waiting for a slot"
         if sends and sends[0]["pace"] >= SLOWED_PACE:
             return "late: by work on a slowed host"
@@ -89,17 +89,23 @@
 
 @dataclass(slots=True)
 class Window:
-    """What callers got in one span of time.
+    """Totals of the requests that ended in one window of time.
 
     Attributes
     ----------
     start_seconds : float
-        In seconds after the first line.
+        Start of the window, in seconds after the first outcome.
+    request_count : int
+        Number of requests that ended in the window.
+    worth_offered : float
+        What these requests are worth if all are answered in time.
     worth_lost : Counter
-        Worth lost by route and cause.
+        Worth lost, by route and cause.
+    counts : Counter
+        Number of requests not answered in time, by route and cause.
     slot_refusals : Counter
-        Of refusals for want of a slot: how many with all slots taken, and how
-        many with free slots that a slowed host held back.
+        Refusals because no slot was free in time: how many with all slots taken,
+        and how many while free slots were withheld because the host was slowed.
     """
 
     start_seconds: float
@@ -111,13 +117,13 @@
 
     @property
     def credit(self):
-        """The share of the worth asked for that was earned."""
+        """The share of the offered worth that was earned."""
         return (
             1.0 - sum(self.worth_lost.values()) / self.worth_offered if self.worth_offered else 1.0
         )
 
     def add(self, trace, worth):
-        """Count one request that ended in this window."""
+        """Add one request that ended in this window."""
         self.request_count += 1
         self.worth_offered += worth
         cause = trace.cause
@@ -133,9 +139,20 @@
 
 
 def read_traces(lines):
-    """Return ``(stories, left out)`` of log `lines`: a `RequestTrace` by request, and how many were cut.
+    """Group log lines by request.
 
-    Lines that hold no JSON object of a node are passed over.
+    Parameters
+    ----------
+    lines : iterable of str
+        Log lines of any number of nodes; lines without a JSON object of a node are
+        skipped.
+
+    Returns
+    -------
+    traces : dict of str to RequestTrace
+        By request id.
+    left_out : int
+        Number of lines that the nodes reported as dropped.
     """
     traces = {}
     left_out = 0
@@ -156,27 +173,27 @@
         try:
             yield json.loads(line[begin:])
         except ValueError:
-            # The end of a log that was cut off in the middle of a line.
+            # A log can end in the middle of a line.
             continue
 
 
 def split_into_windows(traces, seconds, worths):
-    """Return the `Window` objects of `traces`, in order of time.
+    """Return the totals of `traces` in windows of equal length, in order of time.
 
     Parameters
     ----------
-    traces : dict of str to Story
-        By request.
+    traces : dict of str to RequestTrace
+        By request id.
     seconds : float
-        The length of a window.
+        Length of a window.
     worths : dict of str to float
-        What an answer in time is worth, by route; 1 for others.
+        Worth of an answer in time by route; 1 for routes not listed.
     """
     ended = [trace for trace in traces.values() if trace.reported_at_us is not None]
     first = min((trace.reported_at_us for trace in ended), default=0)
     windows = {}
     for trace in ended:
-        place = int((trace.reported_at_us - first) / 1e6 / seconds)
-        window = windows.setdefault(place, Window(place * seconds))
+        index = int((trace.reported_at_us - first) / 1e6 / seconds)
+        window = windows.setdefault(index, Window(index * seconds))
         window.add(trace, worths.get(trace.route, 1.0))
-    return [windows[place] for place in sorted(windows)]
+    return [windows[index] for index in sorted(windows)]
--- a/caperstack/events/causes_main.py
+++ b/caperstack/events/causes_main.py
@@ -1,4 +1,4 @@
-"""caperstack-causes: which requests were lost in the worst moments, and why, from logs."""
+"""caperstack-causes: report from logs why requests were refused, late or failed."""
 
 import argparse
 import fileinput
@@ -11,7 +11,7 @@
 
 EXIT_BAD_ARGUMENTS = 2
 
-#: Causes shown of a window.
+#: Causes shown per window.
 CAUSES_SHOWN = 8
 
 
@@ -19,23 +19,27 @@
     parser = argparse.ArgumentParser(
         prog="caperstack-causes",
         description=(
-            "Join the log lines of all nodes by request and print, for the whole time and for its "
-            "worst windows, how many requests were refused, late or failed, and why. Calls that "
-            "backend servers make count under their own route; give these a worth of 0."
+            "Join the log lines of all nodes by request and print, for the whole time and for the "
+            "worst windows, how many requests were refused, late or failed, and why. Calls made "
+            "by backend servers count under their own route; give these routes a worth of 0."
         ),
     )
     parser.add_argument("logs", nargs="*", help="log files; standard input if none")
     parser.add_argument("--seconds", type=float, default=2.0, help="length of a window")
     parser.add_argument("--worst", type=int, default=2, help="how many windows to show")
     parser.add_argument(
-        "--worth", action="append", default=[], metavar="ROUTE=WORTH", help="of an answer in time"
+        "--worth",
+        action="append",
+        default=[],
+        metavar="ROUTE=WORTH",
+        help="worth of an answer in time on a route; 1 by default",
     )
     parser.add_argument("--version", action="version", version=f"%(prog)s {__version__}")
     return parser
 
 
 def _worths(texts):
-    """Return what an answer is worth, by route.
+    """Return the worth of an answer in time by route, from ``ROUTE=WORTH`` texts.
 
     Raises
     ------
@@ -47,7 +51,7 @@
 
 
 def _table(title, windows):
-    """Yield the lines that tell what was lost in `windows` together."""
+    """Yield the report lines on the totals of `windows`."""
     request_count = sum(window.request_count for window in windows)
     worth_offered = sum(window.worth_offered for window in windows)
     worth_lost = sum((window.worth_lost for window in windows), start=type(windows[0].worth_lost)())
@@ -74,7 +78,7 @@
         return EXIT_BAD_ARGUMENTS
     windows = split_into_windows(traces, options.seconds, worths)
     if not windows:
-        print("caperstack-causes: no request's end in these lines", file=sys.stderr)
+        print("caperstack-causes: no outcome of a request in these lines", file=sys.stderr)
         return EXIT_BAD_ARGUMENTS
     print("\n".join(_table("all", windows)))
     for window in sorted(windows, key=lambda window: window.credit)[: options.worst]:
--- a/caperstack/events/html_page.py
+++ b/caperstack/events/html_page.py
@@ -1,9 +1,10 @@
-"""The time line as one self-contained HTML page."""
+"""Render the time line as a self-contained HTML page."""
 
 import html
 
 __all__ = ["html_page"]
 
+# Dimensions of the diagram, in pixels.
 LANE_HEIGHT = 46
 TOP_MARGIN = 40
 LEFT_MARGIN = 150
@@ -26,12 +27,12 @@
 
 
 def html_page(events):
-    """Return an HTML page with a lane per host, a dot per event and a table.
+    """Return an HTML page with a diagram (a lane per host, a dot per event) and a table.
 
     Parameters
     ----------
     events : list of dict
-        Events in causal order, as `caperstack.events.timeline.merge_events` gives them.
+        Events in causal order, as `caperstack.events.timeline.merge_events` returns them.
     """
     hosts = sorted({event["host"] for event in events})
     start = events[0]["clock"] if events else 0
@@ -52,7 +53,8 @@
     for host, y in lanes.items():
         parts.append(f'<text x="4" y="{y + 4}">{html.escape(host)}</text>')
         parts.append(
-            f'<line x1="{LEFT_MARGIN}" x2="{LEFT_MARGIN + AXIS_WIDTH}" y1="{y}" y2="{y}" stroke="#ccc"/>'
+            f'<line x1="{LEFT_MARGIN}" x2="{LEFT_MARGIN + AXIS_WIDTH}" '
+            f'y1="{y}" y2="{y}" stroke="#ccc"/>'
         )
     for tick in range(11):
         x = LEFT_MARGIN + AXIS_WIDTH * tick / 10
@@ -69,7 +71,7 @@
 
 
 def _connecting_lines(events, lanes, start, span):
-    """Yield a line between events of one request that follow each other on two hosts."""
+    """Yield a line for each pair of consecutive events of a request on different hosts."""
     last = {}
     for event in events:
         name = event["request_id"]
@@ -77,7 +79,8 @@
         if name and before is not None and before["host"] != event["host"]:
             yield (
                 f'<line x1="{_x_position(before, start, span):.1f}" y1="{lanes[before["host"]]}" '
-                f'x2="{_x_position(event, start, span):.1f}" y2="{lanes[event["host"]]}" stroke="#bbd"/>'
+                f'x2="{_x_position(event, start, span):.1f}" y2="{lanes[event["host"]]}" '
+                f'stroke="#bbd"/>'
             )
         last[name] = event
 
@@ -86,8 +89,8 @@
     colour = _COLOURS.get(event["kind"], _OTHER_COLOUR)
     title = html.escape(f"{event['host']} {event['kind']} {event['request_id']} {event['text']}")
     return (
-        f'<circle cx="{_x_position(event, start, span):.1f}" cy="{lanes[event["host"]]}" r="{DOT_RADIUS}" '
-        f'fill="{colour}"><title>{title}</title></circle>'
+        f'<circle cx="{_x_position(event, start, span):.1f}" cy="{lanes[event["host"]]}" '
+        f'r="{DOT_RADIUS}" fill="{colour}"><title>{title}</title></circle>'
     )
 
 
--- a/caperstack/events/line_limits.py
+++ b/caperstack/events/line_limits.py
@@ -1,4 +1,4 @@
-"""How many log lines of each class a node writes a second, and a count of the others."""
+"""Rate limits on log lines, and counts of the lines dropped."""
 
 from collections import Counter
 
@@ -6,30 +6,30 @@
 
 __all__ = ["DroppedLines", "LineRateLimiter"]
 
-#: The length of the span that lines are bounded in, in seconds.
+#: Length of the window in which lines are counted against a limit, in seconds.
 WINDOW_SECONDS = 1.0
 
-#: Labels that omitted lines are counted under; further ones share `OTHER_LABELS`.
+#: Number of labels with a count of their own; all others share `OTHER_LABELS`.
 MAX_LABELS = 50
 OTHER_LABELS = "others"
 
 
 class LineRateLimiter:
-    """A bound on lines in each span of a second.
+    """A fixed-window limit on the number of log lines per second.
 
     Parameters
     ----------
-    most : int
-        Lines a second.
+    max_per_second : int
+        Lines allowed in each window of one second.
     """
 
-    def __init__(self, most):
-        self._max_per_second = most
+    def __init__(self, max_per_second):
+        self._max_per_second = max_per_second
         self._lines_in_window = 0
         self._window_end = 0.0
 
     def allow_line(self):
-        """Take one line; return whether the bound allows it."""
+        """Count one line and return whether the limit allows it."""
         if now() >= self._window_end:
             self._window_end = now() + WINDOW_SECONDS
             self._lines_in_window = 0
@@ -38,12 +38,12 @@
 
 
 class DroppedLines:
-    """Counts of the lines that were left out, told once a second at most.
+    """Counts of dropped log lines by label, reported at most once a second.
 
     Attributes
     ----------
     total : int
-        All lines left out since the start.
+        Number of lines dropped since the start.
     """
 
     def __init__(self):
@@ -52,7 +52,7 @@
         self.total = 0
 
     def add(self, label):
-        """Count a line that was left out."""
+        """Count a dropped line under `label`."""
         if not self._counts:
             self._report_at = now() + WINDOW_SECONDS
         if label not in self._counts and len(self._counts) >= MAX_LABELS:
@@ -61,7 +61,7 @@
         self.total += 1
 
     def pop_due_counts(self):
-        """Return the counts by label if it is time to tell them, else an empty dict."""
+        """Return and reset the counts by label if a report is due, else return an empty dict."""
         if not self._counts or now() < self._report_at:
             return {}
         counts, self._counts = self._counts, Counter()
--- a/caperstack/events/log.py
+++ b/caperstack/events/log.py
@@ -1,4 +1,4 @@
-"""Log lines: JSON on a descriptor, bounded in rate, never waiting for the reader."""
+"""Structured logging: JSON lines on a descriptor, rate-limited and never blocking."""
 
 import os
 from collections import defaultdict, deque
@@ -11,54 +11,55 @@
 
 __all__ = ["LINES_PER_SECOND", "LogWriter"]
 
-#: The default bound on lines a second about single requests.
+#: Default limit on lines per second about single requests.
 LINES_PER_SECOND = 300
 
-#: Lines a second about what this process believes: a start in a fleet of 195
-#: hosts writes 400 of them.
+#: Limit on lines per second about state changes.  Starting a node in a fleet of
+#: 195 hosts writes 400 of them.
 STATE_LINES_PER_SECOND = 400
 
-#: Lines a second that tell a request's failure to its caller's node.
+#: Limit on lines per second about failed requests, written by the entry node.
 FAILURE_LINES_PER_SECOND = 200
 
-#: Lines a second for each kind and reason of refusal.
+#: Limit on lines per second for each kind and reason of refusal.
 REFUSAL_LINES_PER_SECOND = 10
 
-#: Reasons of refusals that are told apart, and how much of a reason is told in a
-#: count of omitted lines, in characters.
+#: Number of refusal labels (kind and reason) with a limit of their own, and the
+#: characters of the reason that a label keeps.
 MAX_REASONS = 100
 MAX_REASON_LENGTH = 60
 
 DROPPED_LINES_KIND = "lines left out"
 
-#: Lines that wait for a reader that is slow; at 300 bytes each, 150 kB.
+#: Lines buffered for a slow reader; about 150 kB at 300 bytes a line.
 MAX_BUFFERED_LINES = 500
 
 _encoder = msgspec.json.Encoder(enc_hook=str)
 
 
 class LogWriter:
-    """Write structured lines to a descriptor without ever blocking.
+    """Write JSON lines to a descriptor without ever blocking.
 
     Parameters
     ----------
     descriptor : int or None
-        Where lines go; ``None`` writes nothing.
+        The descriptor to write to; ``None`` disables the log.
     host : str
-        Stands in each line.
+        Name of this host, written in each line.
     lines_per_second : int
-        Further lines of a second about requests are left out and counted; the next
-        line that is written tells how many.
+        Limit on lines per second about requests.  Lines beyond it are dropped and
+        counted; the next line written carries the count.
 
     Notes
     -----
-    Lines are of four classes, each with a bound of its own, so that a storm of one
-    class leaves the others whole: changes of what this process believes, failures
-    told to callers, refusals by reason, and all other steps of requests.  Once a
-    second a line tells by kind and reason what was left out.
-
-    What cannot be written waits in a bounded queue, and beyond it is left out and
-    counted: a reader that stops never blocks the process.
+    Lines are of four classes, each with its own limit, so that a burst in one class
+    drops no lines of the others: state changes, failures reported to callers,
+    refusals (limited per reason as well), and all other steps of requests.  Once a
+    second a line reports the dropped lines by kind and reason.
+
+    Lines that the descriptor does not take yet wait in a bounded buffer; once it is
+    full, further lines are dropped and counted.  A reader that stops reading
+    therefore never blocks the process.
     """
 
     def __init__(self, descriptor, host="", lines_per_second=LINES_PER_SECOND):
@@ -77,23 +78,23 @@
 
     @property
     def dropped_count(self):
-        """How many lines were left out since the start."""
+        """Number of lines dropped since the start."""
         return self._dropped.total
 
     def line(self, kind, **fields):
-        """Write a line about a step of a request, if the bound allows."""
+        """Write a line about a step of a request, if the limit allows."""
         self._write_limited(self._requests, kind, kind, fields)
 
     def state(self, kind, **fields):
-        """Write a line about what this process believes, or about its start and stop."""
+        """Write a line about a state change, or about the start or stop of this process."""
         self._write_limited(self._states, kind, kind, fields)
 
     def failure(self, kind, **fields):
-        """Write the line that tells how a request failed."""
+        """Write a line about how a request failed."""
         self._write_limited(self._failures, kind, kind, fields)
 
     def refusal(self, kind, reason, **fields):
-        """Write a line about a refusal, if the bounds of its reason and of requests allow."""
+        """Write a line about a refusal, if the limits for its reason and for requests allow."""
         label = f"{kind}: {reason[:MAX_REASON_LENGTH]}"
         if label not in self._refusals and len(self._refusals) >= MAX_REASONS:
             label = kind
@@ -103,7 +104,7 @@
             self._drop(label)
 
     def log_dropped_counts(self):
-        """Write a line that counts what was left out, if one is due."""
+        """Write a line with the counts of dropped lines, if one is due."""
         counts = self._dropped.pop_due_counts()
         if counts:
             self._write(DROPPED_LINES_KIND, {"counts": counts})
@@ -137,7 +138,7 @@
             except BlockingIOError:
                 written = 0
             except OSError:
-                # Nobody reads any more: there is nowhere left to say so.
+                # The reader has closed its end, so this error cannot be logged either.
                 self._descriptor = None
                 return
             self._partial_line = data[written:]
--- a/caperstack/events/ring.py
+++ b/caperstack/events/ring.py
@@ -1,4 +1,4 @@
-"""A bounded ring of events, in an order that follows cause and effect."""
+"""A ring buffer of recent events, ordered causally by a hybrid logical clock."""
 
 import asyncio
 from collections import deque
@@ -10,22 +10,26 @@
 
 __all__ = ["Event", "EventRing", "HybridClock"]
 
-#: At some 300 bytes an event, 1 MB at the most.
+#: Events kept; at about 300 bytes each, at most 1 MB.
 MAX_EVENTS = 3000
 
-#: A call slower than this, in seconds, is told in events though it succeeded.
+#: A successful call that took longer than this, in seconds, is recorded as well.
 SLOW_CALL_SECONDS = 0.25
 
-#: One call in this many is told in any case.
+#: One call in this many is recorded in any case.
 SAMPLE_INTERVAL_CALLS = 1000
 
-
-#: How often the log tells what it left out, in seconds.
+#: Interval between reports of dropped log lines, in seconds.
 DROPPED_LINES_SECONDS = 1.0
 
 
 class HybridClock:
-    """A wall clock in microseconds that never runs behind what peers showed.
+    """A hybrid logical clock: wall time in microseconds, never behind a peer's timestamp.
+
+    Attributes
+    ----------
+    max_ahead_us : int
+        The furthest that a peer's timestamp was ahead of the local wall clock.
 
     References
     ----------
@@ -38,12 +42,12 @@
         self.max_ahead_us = 0
 
     def tick(self):
-        """Return the next point; later than all before it."""
+        """Return the next timestamp, later than all earlier ones."""
         self._last = max(self._last + 1, wall_microseconds())
         return self._last
 
     def merge(self, remote):
-        """Take over a peer's point; the next one here is later."""
+        """Advance to a peer's timestamp, so that the next local one is later."""
         if remote > self._last:
             self._last = remote
             self.max_ahead_us = max(self.max_ahead_us, remote - wall_microseconds())
@@ -51,7 +55,15 @@
 
 @dataclass(slots=True)
 class Event:
-    """One thing that happened; ``clock`` orders, ``wall_us`` tells the local time."""
+    """One event.
+
+    Attributes
+    ----------
+    clock : int
+        Timestamp of the hybrid clock, by which events are ordered, in microseconds.
+    wall_us : int
+        Time of the local wall clock, in microseconds since the epoch.
+    """
 
     clock: int
     wall_us: int
@@ -63,12 +75,12 @@
 
 
 class EventRing:
-    """The latest events of this node, in memory only.
+    """The latest events of this node, kept in memory only.
 
     Notes
     -----
-    State changes and decisions on calls are logged as well, one line each.
-    The ring tells of calls only when they were slow, went wrong, or by sample.
+    State changes and decisions on calls also go to the log, one line each.  Calls
+    are recorded in the ring only if they were slow or failed, or as a sample.
     """
 
     def __init__(self, host, log=None, events=MAX_EVENTS):
@@ -80,11 +92,11 @@
         self.clock = HybridClock()
 
     async def start(self, kernel):
-        """Tell each second which log lines were left out."""
+        """Start the periodic report of dropped log lines."""
         self._task = asyncio.create_task(self._log_dropped_counts())
 
     async def stop(self):
-        """Stop telling."""
+        """Stop the periodic report."""
         if self._task is not None:
             self._task.cancel()
 
@@ -103,7 +115,7 @@
         self._ring.append(event)
 
     def state(self, subject, old, new, peer=""):
-        """Tell that `subject` changed, in the ring and in the log."""
+        """Record a state change of `subject`, in the ring and in the log."""
         where = f" of {peer}" if peer else ""
         self.add("state", f"{subject}{where}: {old} -> {new}")
         self._log.state("state", subject=subject, peer=peer, old=str(old), new=str(new))
@@ -119,20 +131,32 @@
         )
 
     def belief(self, kind, **fields):
-        """Log a change of what this process believes."""
+        """Log a change of the state that this process assumes for itself or others."""
         self._log.state(kind, **fields)
 
     def failure(self, kind, **fields):
-        """Log how a request failed for which there is no call."""
+        """Log the failure of a request for which no call object exists."""
         self._log.failure(kind, **fields)
 
     def call(self, role, call, outcome, begun):
-        """Tell a call's story if it is worth telling."""
+        """Log the outcome of a call, and record its steps if it was slow, failed or sampled.
+
+        Parameters
+        ----------
+        role : str
+            The role of this node in the call: ``"entry"`` or ``"owner"``.
+        call : caperstack.calls.model.Call
+            The call, with the notes of its steps.
+        outcome : Answered, NotRun or Unknown
+            How it ended.
+        begun : float
+            When it began here, on the local monotonic clock in seconds.
+        """
         self._calls += 1
         elapsed = now() - begun
         successful = isinstance(outcome, Answered) and outcome.status < 500
-        # The caller's node keeps a line of each failure: the way from a request's
-        # id to its cause begins there.
+        # The entry logs every failure in a class of its own, since the search from a
+        # request id to the cause of its failure starts with this line.
         write = self._log.line if successful or role != "entry" else self._log.failure
         write(
             f"{role} outcome",
@@ -149,7 +173,7 @@
         self.add(role, _describe_outcome(outcome, elapsed), call.request_id, call.service)
 
     def since(self, clock=0, request_id="", service=""):
-        """Return the events after `clock` as dicts, filtered."""
+        """Return the events after `clock` as dicts, filtered by request or service."""
         return [
             asdict(event)
             for event in self._ring
--- a/caperstack/events/tests/test_causes.py
+++ b/caperstack/events/tests/test_causes.py
@@ -1,4 +1,4 @@
-"""Causes of lost requests, from log lines."""
+"""Test the causes that are derived from log lines."""
 
 import contextlib
 import io
@@ -34,21 +34,21 @@
     def test_in_time_has_no_cause(self):
         self.assertEqual(cause(sends(0), outcome(50, "answered 200 after 50.0 ms")), "")
 
-    def test_where_it_was_refused(self):
+    def test_refusal_names_its_stage(self):
         refused = outcome(90, "not run (no slot in time) after 90.0 ms")
         refuses = line(80, "owner refuses", reason="no slot in time", running=8, limit=8)
         self.assertIn("at the entry", cause(refused))
         self.assertIn("at arrival", cause(refuses, refused))
         self.assertIn("after waiting", cause(line(10, "owner queues"), refuses, refused))
 
-    def test_what_made_it_late(self):
+    def test_lateness_names_its_cause(self):
         late = outcome(300, "answered 200 after 300.0 ms", objective_ms=-100)
         self.assertIn("more than once", cause(sends(1), sends(2), late))
         self.assertIn("slot", cause(line(1, "owner queues"), sends(150), late))
         self.assertIn("slowed host", cause(sends(1, pace=4.0), late))
         self.assertIn("by work", cause(sends(1), late))
 
-    def test_failures(self):
+    def test_failure_names_status_or_reason(self):
         self.assertIn("500", cause(outcome(9, "answered 500 after 9.0 ms")))
         self.assertIn("lost", cause(outcome(9, "unknown (connection was lost) after 9.0 ms")))
 
@@ -62,10 +62,10 @@
         outcome(2500, "not run (no slot in time) after 1.0 ms", "c"),
         json.dumps({"at_us": 5, "host": "h", "kind": "state", "lines_left_out": 7}),
         '{"at_us": 7, "host"',
-        "no line of ours",
+        "not a line of a node",
     )
 
-    def test_worth_lost_by_window(self):
+    def test_worth_is_lost_in_the_window_where_the_request_ended(self):
         traces, left_out = read_traces(self.lines)
         first, second = split_into_windows(traces, 2.0, {})
         self.assertEqual(left_out, 7)
@@ -73,7 +73,7 @@
         self.assertAlmostEqual(first.credit, 0.55)
         self.assertAlmostEqual(second.credit, 0.0)
 
-    def test_command_line(self):
+    def test_command_prints_totals_and_worst_window(self):
         with tempfile.NamedTemporaryFile("w", suffix=".log") as file:
             file.write("\n".join(self.lines))
             file.flush()
@@ -83,7 +83,7 @@
         self.assertIn("all: 3 requests", out.getvalue())
         self.assertIn("from 2 s", out.getvalue())
 
-    def test_bad_arguments_are_told(self):
+    def test_bad_arguments_exit_with_message(self):
         err = io.StringIO()
         with contextlib.redirect_stderr(err):
             self.assertEqual(main(["/does/not/exist"]), 2)
--- a/caperstack/events/tests/test_log.py
+++ b/caperstack/events/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded, whole, and never waited for."""
+"""Test that log lines are rate-limited and complete, and that writing never blocks."""
 
 import json
 import os
@@ -34,9 +34,9 @@
         self.assertEqual((line["host"], line["kind"]), ("h1", "owner refuses"))
         self.assertEqual((line["id"], line["waiting"]), ("a", 3))
 
-    def test_lines_beyond_the_bound_are_counted(self):
-        # A burst of refusals must not turn into a burst of log lines that
-        # takes the processor from the calls that are still served.
+    def test_lines_beyond_the_limit_are_dropped_and_counted(self):
+        # Without the limit a burst of refusals becomes a burst of log lines, which
+        # takes processor time from the calls that are still served.
         clock = 10.0
         with mock.patch.object(line_limits, "now", lambda: clock):
             log = LogWriter(self.writing, "h1", lines_per_second=5)
@@ -45,7 +45,7 @@
         self.assertEqual(len(self.lines()), 5)
         self.assertEqual(log.dropped_count, 15)
 
-    def test_the_next_line_tells_how_many_are_missing(self):
+    def test_next_line_carries_the_number_of_dropped_lines(self):
         log = LogWriter(self.writing, "h1", lines_per_second=1)
         with mock.patch.object(line_limits, "now", lambda: 0.0):
             log.line("x")
@@ -54,8 +54,8 @@
             log.line("x")
         self.assertEqual(self.lines()[1]["lines_left_out"], 1)
 
-    def test_storm_of_refusals_hides_no_change_of_belief(self):
-        """A new configuration is told in the log while callers are refused by thousands."""
+    def test_burst_of_refusals_drops_no_state_changes(self):
+        """A new configuration must be logged while thousands of requests are refused."""
         log = LogWriter(self.writing, "h1")
         for number in range(2000):
             log.refusal("owner refuses", "no slot in time", id=str(number))
@@ -65,8 +65,8 @@
         told = [line["new"] for line in self.lines() if line["kind"] == "state"]
         self.assertEqual(told, list(range(0, 2000, 100)))
 
-    def test_storm_of_one_refusal_leaves_room_for_others(self):
-        """A rare reason of refusal is told beside a frequent one, and the rest are counted."""
+    def test_frequent_refusal_reason_does_not_drop_rare_ones(self):
+        """A rare reason is logged beside a frequent one, and dropped lines are counted."""
         clock = [10.0]
         with mock.patch.object(line_limits, "now", lambda: clock[0]):
             log = LogWriter(self.writing, "h1")
@@ -82,8 +82,8 @@
         counts = {"owner refuses: no slot in time": 200 - REFUSAL_LINES_PER_SECOND}
         self.assertEqual([n["counts"] for n in lines if n["kind"] == DROPPED_LINES_KIND], [counts])
 
-    def test_failed_requests_are_told_beside_a_storm_of_other_lines(self):
-        """A caller asks why its request failed, and no node has a line with its id."""
+    def test_burst_of_other_lines_drops_no_failures(self):
+        """Without a class of its own, the line with the id of a failed request was dropped."""
         log = LogWriter(self.writing, "h1")
         for number in range(FAILURE_LINES_PER_SECOND):
             for _ in range(3):
@@ -93,9 +93,9 @@
         found = {line["id"] for line in self.lines() if line["kind"] == "entry outcome"}
         self.assertEqual(found, {str(number) for number in range(FAILURE_LINES_PER_SECOND)})
 
-    def test_full_pipe_stops_nobody(self):
-        # Whoever reads the log has stopped.  The process goes on at once, and
-        # what was left out is counted.
+    def test_full_pipe_does_not_block(self):
+        # The reader of the log has stopped reading: writing must return at once, and
+        # the dropped lines must be counted.
         log = LogWriter(self.writing, "h1", lines_per_second=10**9)
         began = now()
         for _ in range(2000):
@@ -103,7 +103,7 @@
         self.assertLess(now() - began, 5.0)
         self.assertGreater(log.dropped_count, 2000 - MAX_BUFFERED_LINES - 200)
 
-    def test_cut_lines_go_on_where_they_stopped(self):
+    def test_partially_written_line_is_continued(self):
         log = LogWriter(self.writing, "h1", lines_per_second=10**9)
         for number in range(400):
             log.line("x", number=number, text="y" * 500)
@@ -114,7 +114,7 @@
         numbers = [json.loads(line)["number"] for line in data.splitlines()]
         self.assertEqual(numbers, list(range(400)))
 
-    def test_reader_that_is_gone_ends_the_log(self):
+    def test_closed_reader_disables_the_log(self):
         reading, writing = os.pipe()
         log = LogWriter(writing, "h1")
         os.close(reading)
--- a/caperstack/events/timeline.py
+++ b/caperstack/events/timeline.py
@@ -1,4 +1,4 @@
-"""One time line out of the events of many nodes."""
+"""Merge the events of many nodes into one time line."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class HostEvents:
-    """The events that one operator port gave, or why it gave none."""
+    """The events of one node, read from its operator port, or the error on reading them."""
 
     address: str
     events: list
@@ -25,25 +25,25 @@
         reply = await request(address, "GET", f"/events{query}", seconds=FETCH_SECONDS)
         return HostEvents(address, json.loads(reply.body)["events"])
     except Exception as error:
-        # A host that is gone is a gap in the time line, not the end of it.
+        # An unreachable host must not prevent the time line of the others.
         return HostEvents(address, [], f"{type(error).__name__}: {error}")
 
 
 async def fetch_events(addresses, query=""):
-    """Return the `HostEvents` of each operator port."""
+    """Return the `HostEvents` of each operator address, read concurrently."""
     return await asyncio.gather(*(_fetch_host_events(address, query) for address in addresses))
 
 
 def merge_events(host_events):
-    """Return all events in causal order.
+    """Return the events of all hosts in causal order.
 
     Notes
     -----
-    The order is that of the hybrid clocks, which messages carry from node to
-    node: an effect never stands before its cause, however far apart the
-    hosts' wall clocks are.
+    Events are sorted by hybrid clock.  Messages between nodes carry its
+    timestamps, so an effect never sorts before its cause, however far apart
+    the wall clocks of the hosts are.
     """
-    events = [event for part in host_events for event in part.events]
+    events = [event for host in host_events for event in host.events]
     return sorted(events, key=lambda event: (event["clock"], event["host"]))
 
 
@@ -52,8 +52,8 @@
 
     Notes
     -----
-    The last column is how far the host's wall clock was behind the hybrid
-    clock, which bounds its error against the fastest clock of the fleet.
+    The last column shows how far the wall clock of the host was behind the
+    hybrid clock, which bounds its error against the fastest clock of the fleet.
     """
     if not events:
         return
