--- a/caperstack/admission/arrivals.py
+++ b/caperstack/admission/arrivals.py
@@ -89,7 +89,7 @@
 
     def too_late(self, call):
         """Return the `NotRun` for a call that must not be dispatched any more, or ``None``."""
-        if self._pauses.suspect():
+        if self._pauses.recently_paused():
             return NotRun("node was paused", PAUSED_SECONDS)
         if now() >= call.deadline:
             return NotRun("deadline passed before dispatch", 0.0)
--- a/caperstack/admission/limit.py
+++ b/caperstack/admission/limit.py
@@ -2,7 +2,7 @@
 
 import math
 
-from caperstack.averages import TimedAverage
+from caperstack.averages import TimeWeightedAverage
 from caperstack.calls.model import guessed_seconds
 from caperstack.clock import deadline_after, now
 
@@ -76,7 +76,7 @@
 
     def __init__(self):
         self._fast = None
-        self._medium = TimedAverage(FIRST_GUESS, MEDIUM_SECONDS)
+        self._medium = TimeWeightedAverage(FIRST_GUESS, MEDIUM_SECONDS)
         self._usual = FIRST_GUESS
         self._guessed = False
         self._slot_seconds = {}
@@ -215,7 +215,7 @@
             if len(self._routes) >= ROUTES_MOST:
                 self._routes.clear()
                 self._slot_seconds.clear()
-            average = self._routes[route] = TimedAverage(elapsed, ROUTE_SECONDS)
+            average = self._routes[route] = TimeWeightedAverage(elapsed, ROUTE_SECONDS)
         average.add(elapsed)
         self._slot_seconds[route] = self._slot_seconds.get(route, 0.0) + elapsed
         if sum(self._slot_seconds.values()) > HELD_MOST:
--- a/caperstack/admission/tests/test_cold.py
+++ b/caperstack/admission/tests/test_cold.py
@@ -181,7 +181,7 @@
             services = {
                 "metrics": recorder,
                 "events": recorder,
-                "pauses": SimpleNamespace(suspect=lambda: False),
+                "pauses": SimpleNamespace(recently_paused=lambda: False),
                 "members": mock.Mock(),
                 "suspects": suspects,
             }
--- a/caperstack/admission/tests/test_owner.py
+++ b/caperstack/admission/tests/test_owner.py
@@ -64,7 +64,7 @@
         services = {
             "metrics": recorder,
             "events": recorder,
-            "pauses": SimpleNamespace(suspect=lambda: self.paused),
+            "pauses": SimpleNamespace(recently_paused=lambda: self.paused),
             "members": self.members,
             "suspects": self.suspects,
         }
--- a/caperstack/averages.py
+++ b/caperstack/averages.py
@@ -2,10 +2,10 @@
 
 from caperstack.clock import now
 
-__all__ = ["TimedAverage"]
+__all__ = ["TimeWeightedAverage"]
 
 
-class TimedAverage:
+class TimeWeightedAverage:
     """An exponential average in which a sample weighs by the time since the last one.
 
     Parameters
@@ -42,7 +42,7 @@
         """How many samples it has taken in."""
         return self._count
 
-    def assume(self, value):
+    def set_initial(self, value):
         """Let `value` stand until the first sample."""
         if not self._count:
             self._value = value
--- a/caperstack/bench/weakened.py
+++ b/caperstack/bench/weakened.py
@@ -7,7 +7,7 @@
 from caperstack.clock import TransitClock
 from caperstack.idempotency.keeper import Keeper, Verdict
 from caperstack.node import main
-from caperstack.pauses import PauseWatch
+from caperstack.pauses import PauseDetector
 
 __all__ = ["WEAKENINGS"]
 
@@ -25,7 +25,7 @@
 
 def _without_lateness():
     TransitClock.lateness = lambda self, stamp, arrival: 0.0
-    PauseWatch.suspect = lambda self: False
+    PauseDetector.recently_paused = lambda self: False
 
 
 WEAKENINGS = {
--- a/caperstack/callers/port.py
+++ b/caperstack/callers/port.py
@@ -179,7 +179,7 @@
             return self._counted(NotRun(text, status=400), "none"), extra
         if call is None:
             return self._counted(self._no_route(start, headers, name), "none"), extra
-        if self._pauses.suspect():
+        if self._pauses.recently_paused():
             # The time left that a request carries counts from when it was
             # sent; after a pause nobody knows how long ago that was.
             return self._counted(NotRun("node was paused", 0.1), call.service), extra
--- a/caperstack/clock.py
+++ b/caperstack/clock.py
@@ -18,7 +18,7 @@
 
 #: How long one minimum of the transit offset is trusted, in seconds.  Host
 #: clocks drift by up to 100 ppm, so a minute adds 6 ms of error at the most.
-OFFSET_WINDOW = 60.0
+OFFSET_WINDOW_SECONDS = 60.0
 
 _source = time.monotonic
 
@@ -87,8 +87,8 @@
 
     def __init__(self):
         self._offset = None
-        self._previous = None
-        self._renew_at = 0.0
+        self._previous_offset = None
+        self._window_end = 0.0
 
     def lateness(self, stamp, arrival):
         """Return the seconds that a message was delayed beyond the usual.
@@ -106,13 +106,13 @@
             Seconds, zero or more.
         """
         offset = arrival - stamp
-        if arrival >= self._renew_at:
-            self._previous = self._offset
+        if arrival >= self._window_end:
+            self._previous_offset = self._offset
             self._offset = offset
-            self._renew_at = arrival + OFFSET_WINDOW
+            self._window_end = arrival + OFFSET_WINDOW_SECONDS
         elif offset < self._offset:
             self._offset = offset
         floor = self._offset
-        if self._previous is not None and self._previous < floor:
-            floor = self._previous
+        if self._previous_offset is not None and self._previous_offset < floor:
+            floor = self._previous_offset
         return offset - floor if offset > floor else 0.0
--- a/caperstack/node/assemble.py
+++ b/caperstack/node/assemble.py
@@ -13,7 +13,7 @@
 from caperstack.membership.members import Members
 from caperstack.operators.metrics import Metrics
 from caperstack.operators.port import OperatorPort
-from caperstack.pauses import PauseWatch
+from caperstack.pauses import PauseDetector
 from caperstack.peers.links import Links
 from caperstack.peers.port import PeerPort
 from caperstack.peers.security import PeerSecurity
@@ -35,7 +35,7 @@
     client = BackendClient(here.backend.address, here.backend.connections, here.limits.body_bytes)
     kernel.register("metrics", Metrics(here.host))
     kernel.register("events", EventRing(here.host, log))
-    kernel.register("pauses", PauseWatch())
+    kernel.register("pauses", PauseDetector())
     kernel.register("security", security)
     kernel.register("settings", SettingsStore(TreeCodec(), here.settings))
     kernel.register("members", Members(here))
--- a/caperstack/pauses.py
+++ b/caperstack/pauses.py
@@ -4,18 +4,18 @@
 
 from caperstack.clock import deadline_after, now, suspended_seconds
 
-__all__ = ["PauseWatch"]
+__all__ = ["PauseDetector"]
 
 #: How often the running loop looks at itself, and how late makes a pause.
-TICK_SECONDS = 0.25
-PAUSE_SECONDS = 0.5
+CHECK_INTERVAL_SECONDS = 0.25
+PAUSE_THRESHOLD_SECONDS = 0.5
 
 #: How long requests are refused after a pause, in seconds: what arrived in it
 #: lies in the socket buffers and is read within a few turns of the loop.
-AFTER_PAUSE_SECONDS = 0.25
+REFUSE_AFTER_PAUSE_SECONDS = 0.25
 
 
-class PauseWatch:
+class PauseDetector:
     """Tell whether what this process holds may be older than it looks.
 
     Notes
@@ -29,40 +29,43 @@
     """
 
     def __init__(self):
-        self._ticked_at = now()
-        self._suspended = suspended_seconds()
-        self._suspect_until = 0.0
-        self._ticker = None
+        self._checked_at = now()
+        self._suspended_seconds = suspended_seconds()
+        self._refuse_until = 0.0
+        self._task = None
 
     async def start(self, kernel):
         """Begin to tick."""
         self._events = kernel.find("events")
         self._metrics = kernel.find("metrics")
-        self._ticked_at = now()
-        self._ticker = asyncio.create_task(self._tick())
+        self._checked_at = now()
+        self._task = asyncio.create_task(self._check_periodically())
 
     async def stop(self):
         """Stop ticking."""
-        self._ticker.cancel()
+        self._task.cancel()
 
-    def suspect(self):
+    def recently_paused(self):
         """Return whether the process has just woken from a pause."""
         moment = now()
         suspended = suspended_seconds()
-        away = moment - self._ticked_at + suspended - self._suspended
-        if away > PAUSE_SECONDS:
-            self._suspect_until = moment + AFTER_PAUSE_SECONDS
+        away = moment - self._checked_at + suspended - self._suspended_seconds
+        if away > PAUSE_THRESHOLD_SECONDS:
+            self._refuse_until = moment + REFUSE_AFTER_PAUSE_SECONDS
             self._metrics.count("pauses")
             self._events.state("process", "paused", f"woke {away:.1f} s later")
-            self._ticked_at = moment
-            self._suspended = suspended
-        return moment < self._suspect_until
+            self._checked_at = moment
+            self._suspended_seconds = suspended
+        return moment < self._refuse_until
 
-    async def _tick(self):
+    async def _check_periodically(self):
         while True:
-            due = deadline_after(TICK_SECONDS)
-            await asyncio.sleep(TICK_SECONDS)
-            if now() - due + suspended_seconds() - self._suspended > PAUSE_SECONDS:
-                self.suspect()
-            self._ticked_at = now()
-            self._suspended = suspended_seconds()
+            due = deadline_after(CHECK_INTERVAL_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
+            if (
+                now() - due + suspended_seconds() - self._suspended_seconds
+                > PAUSE_THRESHOLD_SECONDS
+            ):
+                self.recently_paused()
+            self._checked_at = now()
+            self._suspended_seconds = suspended_seconds()
--- a/caperstack/platform/assemble.py
+++ b/caperstack/platform/assemble.py
@@ -10,7 +10,7 @@
 from caperstack.membership.members import Members
 from caperstack.operators.metrics import Metrics
 from caperstack.operators.port import OperatorPort
-from caperstack.pauses import PauseWatch
+from caperstack.pauses import PauseDetector
 from caperstack.peers.links import Links
 from caperstack.peers.port import PeerPort
 from caperstack.peers.security import Plain
@@ -54,7 +54,7 @@
     fleet = FleetView(here, boot.cold_bound)
     kernel.register("metrics", metrics)
     kernel.register("events", EventRing(here.host, log, RING_EVENTS))
-    kernel.register("pauses", PauseWatch())
+    kernel.register("pauses", PauseDetector())
     kernel.register("settings", SettingsStore(codec))
     kernel.register("members", Members(here))
     kernel.register("backend client", client)
--- a/caperstack/play/hosts.py
+++ b/caperstack/play/hosts.py
@@ -40,7 +40,7 @@
     async def stop(self):
         """Nothing to stop."""
 
-    def suspect(self):
+    def recently_paused(self):
         """Never."""
         return False
 
--- a/caperstack/routing/service.py
+++ b/caperstack/routing/service.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from caperstack.averages import TimedAverage
+from caperstack.averages import TimeWeightedAverage
 from caperstack.calls.model import guessed_seconds
 from caperstack.clock import now
 from caperstack.routing.budgets import CallBudget
@@ -81,7 +81,7 @@
         self.retries = retries
         self.hedges = hedges or CallBudget()
         self.shared_among = -1
-        self._usual = TimedAverage(FIRST_USUAL_SECONDS, USUAL_SECONDS)
+        self._usual = TimeWeightedAverage(FIRST_USUAL_SECONDS, USUAL_SECONDS)
         self._routes = {}
 
     @property
@@ -93,7 +93,7 @@
         """Take the guess at the work of `call` for usual until the first answer."""
         guess = guessed_seconds(call)
         if guess:
-            self._usual.assume(guess)
+            self._usual.set_initial(guess)
 
     def route_seconds(self, route):
         """How long calls of `route` usually take, in seconds; 0 if it is not known yet."""
@@ -107,7 +107,7 @@
         if average is None:
             if len(self._routes) >= ROUTES_MOST:
                 self._routes.clear()
-            average = self._routes[route] = TimedAverage(seconds, USUAL_SECONDS)
+            average = self._routes[route] = TimeWeightedAverage(seconds, USUAL_SECONDS)
         average.add(min(seconds, HEDGE_LATE * average.value))
 
     def hedge_delay(self, call):
