--- a/caperstack/__init__.py
+++ b/caperstack/__init__.py
@@ -4,5 +4,5 @@
 
 __version__ = "0.1.0"
 
-#: The point on the monotonic clock at which this process began, as far as it can tell.
+#: Start of this process on the monotonic clock, in seconds, taken when the package is imported.
 STARTED_AT = time.monotonic()
--- a/caperstack/addresses.py
+++ b/caperstack/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as ``ip:port`` texts."""
+"""Parse addresses of the form ``ip:port``."""
 
 import ipaddress
 
@@ -6,12 +6,12 @@
 
 
 def split_address(address):
-    """Return ``(ip, port)`` of an ``ip:port`` text.
+    """Return ``(ip, port)`` of an ``ip:port`` string.
 
     Raises
     ------
     ValueError
-        If the text is not an IP address and a port from 1 to 65535.
+        If the string is not an IP address and a port from 1 to 65535.
     """
     ip, _, port = address.rpartition(":")
     ipaddress.ip_address(ip.strip("[]"))
--- a/caperstack/averages.py
+++ b/caperstack/averages.py
@@ -1,4 +1,4 @@
-"""Averages over time, whatever the rate of samples."""
+"""Averages over time that do not depend on the sample rate."""
 
 from caperstack.clock import now
 
@@ -6,53 +6,53 @@
 
 
 class TimeWeightedAverage:
-    """An exponential average in which a sample weighs by the time since the last one.
+    """An exponential moving average that weights a sample by the time since the last one.
 
     Parameters
     ----------
-    first : float
-        The value before the first sample.
+    initial : float
+        Value before the first sample.
     seconds : float
-        The time over which old samples fade.
-    most : float
-        The greatest weight of one sample, so that one after a long silence
-        does not replace all that was known.
+        Time constant over which old samples fade.
+    max_weight : float
+        Greatest weight of one sample, so that a sample after a long gap does not
+        replace the whole average.
 
     Notes
     -----
-    A fixed weight per sample forgets within half a second at hundreds of
-    calls a second: a slow server's times became its usual ones before the
-    slowdown ended, and nothing looked slow any more.
+    With a fixed weight per sample, old samples fade within half a second at
+    hundreds of calls per second.  The times of a slowed server then become its
+    baseline before the slowdown ends, and the slowdown is no longer visible.
     """
 
-    def __init__(self, first, seconds, most=0.1):
-        self._value = first
+    def __init__(self, initial, seconds, max_weight=0.1):
+        self._value = initial
         self._seconds = seconds
-        self._most = most
+        self._max_weight = max_weight
         self._last = now()
         self._count = 0
 
     @property
     def value(self):
-        """The average."""
+        """The current average."""
         return self._value
 
     @property
     def count(self):
-        """How many samples it has taken in."""
+        """Number of samples added."""
         return self._count
 
     def set_initial(self, value):
-        """Let `value` stand until the first sample."""
+        """Replace the initial value; without effect after the first sample."""
         if not self._count:
             self._value = value
 
     def add(self, sample):
-        """Take in one sample."""
+        """Update the average with one sample."""
         moment = now()
         self._count += 1
-        weight = min(self._most, (moment - self._last) / self._seconds)
-        # The first samples count alike, lest the very first stand for all.
+        weight = min(self._max_weight, (moment - self._last) / self._seconds)
+        # Weight the first samples equally, so that the very first does not dominate.
         weight = max(weight, 1.0 / self._count)
         self._value += weight * (sample - self._value)
         self._last = moment
--- a/caperstack/clock.py
+++ b/caperstack/clock.py
@@ -1,4 +1,4 @@
-"""Points in time on the local monotonic clock, and how late a message came."""
+"""Times on the local monotonic clock, and the transit delay of messages."""
 
 import contextlib
 import time
@@ -16,21 +16,21 @@
     "wall_microseconds",
 ]
 
-#: How long one minimum of the transit offset is trusted, in seconds.  Host
-#: clocks drift by up to 100 ppm, so a minute adds 6 ms of error at the most.
+#: How long a minimum of the transit offset is used, in seconds.  Host clocks drift
+#: by up to 100 ppm, so that one minute adds at most 6 ms of error.
 OFFSET_WINDOW_SECONDS = 60.0
 
 _source = time.monotonic
 
 
 def now():
-    """Return the point in time, in seconds on the local monotonic clock."""
+    """Return the current time on the local monotonic clock, in seconds."""
     return _source()
 
 
 @contextlib.contextmanager
 def use_source(source):
-    """Let ``source()`` tell the time meanwhile, for plays in virtual time."""
+    """Use ``source()`` as the clock within the context, for simulations in virtual time."""
     global _source
     before, _source = _source, source
     try:
@@ -40,12 +40,12 @@
 
 
 def process_start():
-    """Return the point at which this process began; in a play, now."""
+    """Return the start time of this process; in a simulation, the current time."""
     return STARTED_AT if _source is time.monotonic else now()
 
 
 def deadline_after(seconds):
-    """Return the point on the monotonic clock that lies `seconds` ahead."""
+    """Return the time on the monotonic clock `seconds` from now."""
     return now() + seconds
 
 
@@ -55,34 +55,34 @@
 
 
 def suspended_seconds():
-    """Return for how long the host was suspended since its start, in seconds.
+    """Return the total time that the host was suspended since it booted, in seconds.
 
-    The monotonic clock does not count that time, the boot clock does.
+    The boot clock includes this time, the monotonic clock does not.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME) - now()
 
 
 def wall_microseconds():
-    """Return the wall clock in microseconds since the epoch."""
+    """Return the wall clock time in microseconds since the epoch."""
     return time.time_ns() // 1000
 
 
 class TransitClock:
-    """Estimate how late each message of one connection arrived.
+    """Estimate how much each message of one connection was delayed in transit.
 
     The sender stamps each message with its own monotonic clock.  The smallest
-    difference of arrival and stamp seen lately stands for an undelayed
-    message; whatever a message needs beyond that is its lateness, with no
-    synchronised clocks.
+    recent difference between arrival and stamp is taken for an undelayed
+    message, and the delay of a message is the excess over it.  The clocks of
+    the two hosts need not be synchronised.
 
     Notes
     -----
-    Failure: a node is stopped while a request waits in its socket buffer.  On
-    waking, the time left that the request carries looks untouched, and a
-    request whose caller was told the outcome long ago would run.  The lateness
-    taken off the time left makes such a request expire on arrival.  The first
-    message of a connection counts as undelayed; the handshake, which is sent
-    when both sides are awake, is that message.
+    If the process of a node is stopped while a request waits in its socket
+    buffer, the request still carries its full time left when the process
+    resumes, and would run although its caller got an outcome long ago.
+    Subtracting the delay from the time left makes such a request expire on
+    arrival.  The first message of a connection counts as undelayed; this is the
+    handshake, which is sent while both processes run.
     """
 
     def __init__(self):
@@ -91,19 +91,19 @@
         self._window_end = 0.0
 
     def lateness(self, stamp, arrival):
-        """Return the seconds that a message was delayed beyond the usual.
+        """Return by how much a message was delayed beyond an undelayed one.
 
         Parameters
         ----------
         stamp : float
-            The sender's monotonic clock at sending, in seconds.
+            Time of sending on the sender's monotonic clock, in seconds.
         arrival : float
-            The local monotonic clock at arrival, in seconds.
+            Time of arrival on the local monotonic clock, in seconds.
 
         Returns
         -------
         float
-            Seconds, zero or more.
+            Delay in seconds, zero or more.
         """
         offset = arrival - stamp
         if arrival >= self._window_end:
--- a/caperstack/exception.py
+++ b/caperstack/exception.py
@@ -1,4 +1,4 @@
-"""Base exceptions and errors of caperstack."""
+"""Exceptions raised by caperstack."""
 
 __all__ = [
     "BackendError",
@@ -13,16 +13,16 @@
 
 
 class CaperstackError(Exception):
-    """Base class of all errors raised by caperstack.
+    """Base class of all exceptions raised by caperstack.
 
     Parameters
     ----------
     message : str
-        What went wrong, for a person.
+        Human-readable description of the error.
     step : str
-        The step of the work at which the error arose.
+        The operation that failed.
     peer : str
-        The other side of that step: a host, an address or a field.
+        What the operation dealt with: a host, an address or a field.
     """
 
     def __init__(self, message, *, step="", peer=""):
@@ -37,7 +37,7 @@
 
 
 class ConfigurationError(CaperstackError):
-    """Settings were refused; ``peer`` names the field."""
+    """Settings are invalid; ``peer`` names the field."""
 
 
 class FrameError(CaperstackError):
@@ -45,12 +45,12 @@
 
 
 class PeerError(CaperstackError):
-    """A connection to a peer could not be used; ``sent`` is false if nothing went out.
+    """A connection to a peer could not be used; ``sent`` is false if nothing was sent.
 
     Notes
     -----
-    ``sent`` is the evidence for "not run": only a message that never left
-    this process may be called unsent.
+    ``sent`` decides whether a call may be reported as "not run", so it is false
+    only if no part of the message left this process.
     """
 
     def __init__(self, message, *, step="", peer="", sent=True):
@@ -59,10 +59,11 @@
 
 
 class BackendError(CaperstackError):
-    """The backend server gave no whole answer.
+    """The backend server gave no complete answer.
 
-    ``sent`` is false if it got no request; ``unheard`` is true if the connection
-    closed before a byte of the answer; ``refused`` if nobody listens there.
+    ``sent`` is false if no request was sent; ``unheard`` is true if the connection
+    closed before the first byte of the answer; ``refused`` is true if the server
+    refused the connection because no process listens at its address.
     """
 
     def __init__(self, message, *, step="", peer="", sent=True, unheard=False, refused=False):
@@ -77,7 +78,7 @@
 
 
 class HistoryError(PlatformError):
-    """The configuration service has dropped the history that a watch would continue."""
+    """The configuration service no longer has the history from which a watch would continue."""
 
 
 class KernelError(CaperstackError):
--- a/caperstack/kernel.py
+++ b/caperstack/kernel.py
@@ -1,4 +1,4 @@
-"""The micro-kernel: starts named services in order and lets them find each other."""
+"""Microkernel: starts and stops named services in order, and looks them up by name."""
 
 from caperstack.exception import KernelError
 
@@ -6,11 +6,11 @@
 
 
 class Kernel:
-    """A registry of named services with one order of starting and stopping.
+    """A registry of named services that are started and stopped in a fixed order.
 
     A service is any object with ``async start(kernel)`` and ``async stop()``.
-    Services start in the order of registration and stop in reverse, so that
-    one may rely on those registered before it.
+    Services start in the order of registration and stop in reverse order, so that a
+    service may depend on those registered before it.
 
     Examples
     --------
@@ -26,7 +26,7 @@
 
     @property
     def names(self):
-        """The names of the registered services, in order."""
+        """Names of the registered services, in order of registration."""
         return tuple(self._services)
 
     def register(self, name, service):
@@ -35,7 +35,7 @@
         Raises
         ------
         KernelError
-            If the name is taken.
+            If a service is registered under this name.
         """
         if name in self._services:
             raise KernelError("name is taken", step="register", peer=name)
@@ -47,7 +47,7 @@
         Raises
         ------
         KernelError
-            If there is none.
+            If no service is registered under this name.
         """
         try:
             return self._services[name]
@@ -55,7 +55,13 @@
             raise KernelError("no such service", step="find", peer=name) from None
 
     async def start(self):
-        """Start all services; on a failure stop the started ones and raise it."""
+        """Start all services in order.
+
+        Raises
+        ------
+        KernelError
+            If a service fails to start; those started before it are stopped first.
+        """
         for name, service in self._services.items():
             try:
                 await service.start(self)
@@ -70,7 +76,7 @@
         Raises
         ------
         ExceptionGroup
-            Of one `KernelError` per service that failed to stop.
+            With one `KernelError` for each service that failed to stop.
         """
         errors = []
         while self._started:
--- a/caperstack/pauses.py
+++ b/caperstack/pauses.py
@@ -1,4 +1,4 @@
-"""Notice when this process was stopped and woke up late."""
+"""Detect that this process or its host was suspended for a while."""
 
 import asyncio
 
@@ -6,26 +6,30 @@
 
 __all__ = ["PauseDetector"]
 
-#: How often the running loop looks at itself, and how late makes a pause.
+#: Interval of the periodic check, in seconds.
 CHECK_INTERVAL_SECONDS = 0.25
+
+#: Time since the last check, or delay of a check, beyond which the process counts
+#: as paused, in seconds.
 PAUSE_THRESHOLD_SECONDS = 0.5
 
-#: How long requests are refused after a pause, in seconds: what arrived in it
-#: lies in the socket buffers and is read within a few turns of the loop.
+#: How long requests are refused after a pause, in seconds.  Requests that arrived
+#: during the pause are in the socket buffers, and are read within a few iterations
+#: of the event loop.
 REFUSE_AFTER_PAUSE_SECONDS = 0.25
 
 
 class PauseDetector:
-    """Tell whether what this process holds may be older than it looks.
+    """Detect pauses of this process, after which buffered requests may be stale.
 
     Notes
     -----
-    Failure: the process is stopped with requests in its buffers and wakes
-    seconds later, believing them fresh; their callers have long been told
-    something else, and a booking would run that nobody waits for.  The tick
-    that did not happen shows the pause before any request is looked at.  While
-    a host is suspended the monotonic clock stands still, and no tick is late;
-    the time that the host was suspended shows it.
+    If the process is stopped with requests in its socket buffers and resumes
+    seconds later, these requests look fresh.  Their callers have already got
+    another outcome, and a booking would run that nobody waits for.  The overdue
+    periodic check reveals the pause before any of these requests is handled.
+    While the host itself is suspended the monotonic clock stands still and no
+    check is overdue, so the suspended time of the host is compared as well.
     """
 
     def __init__(self):
@@ -35,18 +39,18 @@
         self._task = None
 
     async def start(self, kernel):
-        """Begin to tick."""
+        """Start the periodic check."""
         self._events = kernel.find("events")
         self._metrics = kernel.find("metrics")
         self._checked_at = now()
         self._task = asyncio.create_task(self._check_periodically())
 
     async def stop(self):
-        """Stop ticking."""
+        """Stop the periodic check."""
         self._task.cancel()
 
     def recently_paused(self):
-        """Return whether the process has just woken from a pause."""
+        """Return whether the process has just resumed after a pause."""
         moment = now()
         suspended = suspended_seconds()
         away = moment - self._checked_at + suspended - self._suspended_seconds
