--- a/caperstack/soak/main.py
+++ b/caperstack/soak/main.py
@@ -43,14 +43,14 @@
 
 
 def _show(seed, verdict):
-    print(f"seed {seed}: {verdict.asked} requests, {dict(verdict.outcomes)}")
+    print(f"seed {seed}: {verdict.request_count} requests, {dict(verdict.outcomes)}")
     print(f"  faults: {dict(verdict.faults)}")
-    for promise, found in verdict.broken.items():
+    for guarantee, found in verdict.broken.items():
         if found:
-            print(f"  BROKEN {promise}: {len(found)}, first {found[:5]}")
+            print(f"  BROKEN {guarantee}: {len(found)}, first {found[:5]}")
     if verdict.unexercised:
         print(f"  never exercised: {verdict.unexercised}")
-    print(f"  {'every promise held' if verdict.clean else 'promises were broken'}")
+    print(f"  {'every promise held' if verdict.passed else 'promises were broken'}")
 
 
 def main(arguments=None):
@@ -60,7 +60,7 @@
     for seed in options.seeds:
         verdict = _run(options, seed)
         _show(seed, verdict)
-        good &= verdict.clean
+        good &= verdict.passed
     return 0 if good else EXIT_BROKEN
 
 
--- a/caperstack/soak/ground.py
+++ b/caperstack/soak/state.py
@@ -5,11 +5,11 @@
 
 from caperstack.clock import now
 
-__all__ = ["Evacuation", "Fact", "Ground", "Window"]
+__all__ = ["Change", "Evacuation", "FaultWindow", "SoakState"]
 
 
 @dataclass
-class Window:
+class FaultWindow:
     """A time in which a host's node was not itself; an open one has no end.
 
     Attributes
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Fact:
+class Change:
     """Something that holds from a moment on.
 
     Attributes
@@ -53,16 +53,16 @@
 
 
 @dataclass
-class Ground:
+class SoakState:
     """A fleet on the platform's stand-ins under trouble.
 
     Attributes
     ----------
     fatal : list of str
         The targets that end the servers which run them.
-    asked : list of caperstack.soak.asking.Asked
+    requests : list of caperstack.soak.client.RequestRecord
         The requests that faults have made.
-    full_stops : list of float
+    kill_all_times : list of float
         When all nodes ended at once, and with them all that they remembered.
     evacuations : list of Evacuation
         The zones that were to get no new calls, and when.
@@ -77,15 +77,15 @@
     faults: Counter = field(default_factory=Counter)
     problems: list = field(default_factory=list)
     fatal: list = field(default_factory=list)
-    asked: list = field(default_factory=list)
-    full_stops: list = field(default_factory=list)
+    requests: list = field(default_factory=list)
+    kill_all_times: list = field(default_factory=list)
     evacuations: list = field(default_factory=list)
 
-    def note(self, text):
+    def print_progress(self, text):
         """Tell what happens now, for whoever reads the run."""
         print(f"  {now() - self.began:7.2f} s: {text}", flush=True)
 
-    def some_host(self):
+    def random_host(self):
         """Return a host at random."""
         return self.rng.choice(self.fleet.hosts)
 
@@ -96,12 +96,12 @@
         return evacuation
 
     def open_window(self, host, process=True):
-        """Note that the node of `host` is not itself from now on; return the `Window`."""
-        window = Window(host.ip, now(), process=process)
+        """Note that the node of `host` is not itself from now on; return the `FaultWindow`."""
+        window = FaultWindow(host.ip, now(), process=process)
         self.windows.append(window)
         return window
 
-    def troubled(self, begin, end, host=None, store=True):
+    def fault_active(self, begin, end, host=None, store=True):
         """Return whether a node, that of `host` or any, was not itself between two moments.
 
         Without `store` its process alone counts.
--- a/caperstack/soak/verdict.py
+++ b/caperstack/soak/verdict.py
@@ -12,7 +12,7 @@
 
     Attributes
     ----------
-    asked : int
+    request_count : int
         Requests of callers.
     outcomes : Counter
         How their tries ended, by status or by the product's name of the outcome.
@@ -24,14 +24,14 @@
         For each promise the requests that show it broken.
     """
 
-    asked: int = 0
+    request_count: int = 0
     outcomes: Counter = field(default_factory=Counter)
     faults: Counter = field(default_factory=Counter)
     kinds: frozenset = frozenset()
     broken: dict = field(default_factory=dict)
 
     @property
-    def clean(self):
+    def passed(self):
         """Whether every promise held."""
         return not any(self.broken.values())
 
