--- a/caperstack/soak/__init__.py
+++ b/caperstack/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes under mixed faults for as long as one likes, every promise checked."""
+"""Soak tests: real processes under load and mixed faults, with all guarantees checked."""
--- a/caperstack/soak/checks.py
+++ b/caperstack/soak/checks.py
@@ -1,4 +1,4 @@
-"""What callers and backend servers saw, held against the promises."""
+"""Check the guarantees of the nodes against what callers and backend servers saw."""
 
 from collections import Counter, defaultdict
 from itertools import pairwise
@@ -9,15 +9,16 @@
 
 __all__ = ["CONNECTION_CLOSED", "CONNECTION_REFUSED", "RequestRecord", "check_guarantees"]
 
-#: A leaving mark and a configuration are in force everywhere this long after the
-#: store has them, in seconds.
+#: A draining state and a configuration must be in force on all nodes this long after
+#: they were written to the store, in seconds.
 PROPAGATION_SECONDS = 2.0
 
-#: The scheduling of a busy machine, in seconds.
+#: Allowance for scheduling delays on a busy machine, in seconds.
 SCHEDULING_SLACK_SECONDS = 0.5
 
-#: From so long after its third end, in seconds, a request that ends servers may be
-#: sent so many times more by nodes that were themselves for as long.
+#: A request that crashes servers must be blocked this long after its third crash, in
+#: seconds, by nodes that no fault has affected for as long.  `MAX_SENDS` further sends
+#: by such nodes are allowed.
 BLOCKED_AFTER_SECONDS = 3.0
 MAX_SENDS = 3
 
@@ -25,16 +26,16 @@
 
 
 def check_guarantees(state, requests, max_attempts):
-    """Return the `caperstack.soak.verdict.Verdict` on a soak.
+    """Check all guarantees and return the `caperstack.soak.verdict.Verdict` on a soak.
 
     Parameters
     ----------
     state : caperstack.soak.state.SoakState
-        The fleet, with the ledgers of its backend servers, and what happened.
-    requests : list of Asked
-        All requests.
+        The fleet, with the ledgers of its backend servers, and the record of faults.
+    requests : list of RequestRecord
+        All requests of callers.
     max_attempts : int
-        The most backend servers that one request may be sent to.
+        Maximum number of backend servers that one request may be sent to.
     """
     runs = defaultdict(list)
     for host in state.fleet.hosts:
@@ -64,7 +65,7 @@
 
 
 def _broken_guarantees(state, request, runs, max_attempts):
-    """Yield the promises that a request shows broken."""
+    """Yield the guarantees that were broken for a request."""
     if request.code == 200 and not request.complete:
         yield "whole and own"
     if request.code == 200 and not runs:
@@ -87,24 +88,26 @@
 
 
 def _ran_configured_service(state, request, runs):
-    """Return whether the services that ran a request were those of its path."""
-    history = [fact for fact in state.configurations if fact.subject == request.path]
+    """Return whether each run of a request was at the service configured for its path."""
+    history = [change for change in state.configurations if change.subject == request.path]
     if not history:
         return all(run.service == run.target.strip("/").split("/")[0] for run in runs)
     for run in runs:
         since = request.begun - PROPAGATION_SECONDS - SCHEDULING_SLACK_SECONDS
-        before = [fact.value for fact in history if fact.at <= since]
-        allowed = set(before[-1:]) | {f.value for f in history if since < f.at <= run.at}
+        before = [change.value for change in history if change.at <= since]
+        allowed = set(before[-1:]) | {
+            change.value for change in history if since < change.at <= run.at
+        }
         # The node that the caller reached picks the service.
-        calm = not state.fault_active(since, run.at, request.host)
-        if run.service not in allowed and calm:
+        unaffected = not state.fault_active(since, run.at, request.host)
+        if run.service not in allowed and unaffected:
             return False
     return True
 
 
 def _runs_after_departure(state):
-    """Yield the runs at instances that had left, as the nodes beside them had to know."""
-    left = {fact.subject: fact.at for fact in state.departures}
+    """Yield the runs at instances that had left, once the nodes beside them had to know it."""
+    left = {change.subject: change.at for change in state.departures}
     known_after = PROPAGATION_SECONDS + SCHEDULING_SLACK_SECONDS
     for host in state.fleet.hosts:
         for run in host.instance.ledger:
@@ -116,39 +119,39 @@
 
 
 def _runs_in_evacuated_zone(state):
-    """Yield the runs in a zone that was evacuated, as everybody had to know."""
+    """Yield the runs in a zone that was evacuated, once all nodes had to know it."""
     for evacuation in state.evacuations:
         known = evacuation.begin + PROPAGATION_SECONDS + SCHEDULING_SLACK_SECONDS
         for host in state.fleet.hosts:
             if host.zone != evacuation.zone:
                 continue
             for run in host.instance.ledger:
-                calm = not state.fault_active(evacuation.begin, run.at, host.ip)
-                if known <= run.at < evacuation.end and calm:
+                unaffected = not state.fault_active(evacuation.begin, run.at, host.ip)
+                if known <= run.at < evacuation.end and unaffected:
                     yield f"{run.name} at {host.ip}, {run.at - evacuation.begin:.2f} s after"
 
 
 def _fatal_requests_not_blocked(state, runs):
-    """Yield the targets of requests that went on to servers though three had ended of them."""
-    borders = [0.0, *sorted(state.kill_all_times), float("inf")]
+    """Yield the targets that were still sent to servers after they had crashed three."""
+    period_limits = [0.0, *sorted(state.kill_all_times), float("inf")]
     for target in state.fatal:
         ends = sorted(end.at for end in state.fleet.ends if end.target == target)
         sends = [run for own in runs.values() for run in own if run.target == target]
-        for begin, end in pairwise(borders):
-            # What nodes knew of it is gone with the last of them.
+        for begin, end in pairwise(period_limits):
+            # Killing all nodes loses what they knew, so crashes count from there anew.
             own_crash_times = [at for at in ends if begin < at <= end]
-            late = [
+            unblocked = [
                 run
                 for run in sends
                 if begin < run.at <= end and _must_be_blocked(state, run, own_crash_times)
             ]
-            if len(late) > MAX_SENDS:
-                yield f"{target} {len(late)} times, {len(own_crash_times)} ended"
+            if len(unblocked) > MAX_SENDS:
+                yield f"{target} {len(unblocked)} times, {len(own_crash_times)} crashed"
 
 
 def _must_be_blocked(state, run, ends):
-    """Return whether the node beside the server should have kept a request away from it."""
+    """Return whether the node beside the server should have blocked a fatal request."""
     settled = BLOCKED_AFTER_SECONDS + SCHEDULING_SLACK_SECONDS
     host = next(h.ip for h in state.fleet.hosts if run in h.instance.ledger)
-    itself = not state.fault_active(run.at - settled, run.at, host, store=False)
-    return itself and len(ends) >= 3 and run.at > ends[2] + settled
+    unaffected = not state.fault_active(run.at - settled, run.at, host, store=False)
+    return unaffected and len(ends) >= 3 and run.at > ends[2] + settled
--- a/caperstack/soak/client.py
+++ b/caperstack/soak/client.py
@@ -1,4 +1,4 @@
-"""One request of a soak's caller, and what it got."""
+"""The caller of a soak test: sends requests and records their results."""
 
 from dataclasses import dataclass
 
@@ -8,8 +8,8 @@
 
 __all__ = ["CONNECTION_CLOSED", "CONNECTION_REFUSED", "RequestRecord", "ask"]
 
-#: What stands for the status of a request whose connection was closed without an
-#: answer, and of one that found nobody listening.
+#: Recorded instead of a status if the connection was closed without an answer, and
+#: if it was refused because no process listened.
 CONNECTION_CLOSED = 0
 CONNECTION_REFUSED = -1
 
@@ -18,7 +18,23 @@
 
 @dataclass(frozen=True)
 class RequestRecord:
-    """One request of a caller and what it got: a status, `CONNECTION_CLOSED` or `CONNECTION_REFUSED`."""
+    """A request of a caller and its result.
+
+    Attributes
+    ----------
+    name : str
+        Unique name of the request, by which the ledgers of backend servers list it.
+    host : str
+        IP address of the host that the caller sent it to.
+    begun, ended : float
+        Times on the monotonic clock, in seconds.
+    code : int
+        The HTTP status, `CONNECTION_CLOSED` or `CONNECTION_REFUSED`.
+    complete : bool
+        False if an answer came whose body was not the expected one.
+    at_most_once : bool
+        The request is not idempotent, so it may run at most once.
+    """
 
     name: str
     path: str
@@ -31,7 +47,7 @@
 
 
 async def ask(state, path, at_most_once):
-    """Ask for `path` at a host at random; return the `RequestRecord`."""
+    """Send a request for `path` to a random host and return its `RequestRecord`."""
     host = state.random_host()
     begun = now()
     method = "POST" if at_most_once else "GET"
--- a/caperstack/soak/faults.py
+++ b/caperstack/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak: signals, a store in trouble, servers that come and go, changes."""
+"""The faults that a soak test injects into nodes, the store and backend servers."""
 
 import asyncio
 import itertools
@@ -12,39 +12,41 @@
     "COLD_TOLERATED_PER_SECOND",
     "FAULTS",
     "KILL_ALL",
+    "MOVING_PATH_SERVICES",
     "PROCESS_FAULTS",
     "RESTORE",
-    "MOVING_PATH_SERVICES",
     "change_configuration",
 ]
 
-#: The services between which one path moves with each configuration.
+#: A path that each change of the configuration moves between two services.
 MOVING_PATH = "/moving/"
 MOVING_PATH_SERVICES = ("listings", "rates")
 
-#: A leaving backend server serves on for so long before it ends, in seconds.
+#: How long a departing backend server continues to serve before it ends, in seconds.
 DEPARTURE_SECONDS = 4.0
 
 _instance_numbers = itertools.count(1)
 _fatal_numbers = itertools.count(1)
 
-#: Promises that hang on the store hold again so long after its trouble, in seconds.
+#: Guarantees that depend on the store must hold again this long after a fault of it, in
+#: seconds.
 STORE_RECOVERY_SECONDS = 3.0
 
-#: Configurations that are written after the copy is made.
+#: Number of configurations written after the copy is made, which the restore loses.
 LOST_VERSIONS = 5
 
-#: How old the copy is from which the store comes back, at least and at most, in seconds.
+#: Least and greatest age of the copy from which the store is restored, in seconds.
 COPY_AGE_SECONDS = (1.0, 6.0)
 
-#: How long a server is cold, in seconds, and the requests in a second that it bears
-#: then: one and a half times what the configuration says, and eight.
+#: How long a server is cold, in seconds; the cold requests per second that the
+#: configuration allows; and the requests per second above which a cold server crashes,
+#: 1.5 times that rate plus 8.
 COLD_SECONDS = 3.0
 COLD_TOLERATED_PER_SECOND = 4
 COLD_CAPACITY_PER_SECOND = 14
 
-#: For how long a request that ends servers comes again and again, in seconds, and
-#: how long its callers wait in between, at least and at most.
+#: How long a request that crashes servers is repeated, in seconds, and the shortest and
+#: longest wait of its callers between repeats.
 FATAL_SECONDS = 10.0
 FATAL_RETRY_SECONDS = (0.02, 0.5)
 
@@ -58,7 +60,7 @@
 
 
 async def kill_node(state):
-    """Kill a node and start it anew."""
+    """Kill a node and restart it."""
     host = state.random_host()
     window = state.open_window(host)
     host.node.signal(signal.SIGKILL)
@@ -76,53 +78,53 @@
 
 
 async def stop_node(state):
-    """Let a node drain and start it anew; it must cut nothing and end with status 0."""
+    """Drain and restart a node; it must cut no request and exit with status 0."""
     host = state.random_host()
     host.node.signal(signal.SIGTERM)
     status = await host.node.ended()
     if status != 0:
-        state.problems.append(f"{host.ip} ended with {status}")
-    # Who asks where nobody listens any more is not cut.
+        state.problems.append(f"{host.ip} exited with status {status}")
+    # A refused connection does not count as cut, so the window opens only now.
     await _restart_node(state, host, state.open_window(host))
 
 
 async def suspend_node(state):
-    """Suspend a node, then let it wake with old beliefs."""
+    """Suspend a node and resume it with outdated state."""
     host = state.random_host()
     window = state.open_window(host)
     host.node.signal(signal.SIGSTOP)
     await asyncio.sleep(state.rng.choice((0.7, 2.0, 4.0)))
     host.node.signal(signal.SIGCONT)
-    # What peers believe of it is set right within a few heartbeats.
+    # Its peers correct their view of it within a few heartbeats.
     await asyncio.sleep(1.5)
     window.end = now()
 
 
-def _store_fault(**troubles):
+def _store_fault(**settings):
     async def fault(state):
         addresses = list(state.fleet.store.troubles)
         chosen = addresses if state.rng.random() < 0.5 else addresses[:1]
         for address in chosen:
-            for name, value in troubles.items():
+            for name, value in settings.items():
                 setattr(state.fleet.store.troubles[address], name, value)
         windows = [state.open_window(host, process=False) for host in state.fleet.hosts]
         await asyncio.sleep(state.rng.uniform(1.0, 5.0))
         for address in chosen:
-            for name, value in troubles.items():
+            for name, value in settings.items():
                 setattr(state.fleet.store.troubles[address], name, type(value)())
         await asyncio.sleep(STORE_RECOVERY_SECONDS)
         for window in windows:
             window.end = now()
 
-    fault.__doc__ = f"The store is in trouble for all readers or some: {troubles}."
+    fault.__doc__ = f"The store is faulty for all readers or one: {settings}."
     return fault
 
 
 async def restore_store(state):
-    """The store comes back from a copy; configurations change before and after."""
+    """Restore the store from an older copy; the configuration changes before and after."""
     copy = state.fleet.store.copy()
-    # Of several versions that are lost only the last is written again, so that the
-    # next one lies at a revision that was given out before.
+    # Only the last of several lost versions is written again, so that the next one gets
+    # a revision number that had been given out before the restore.
     await _move_path(state, LOST_VERSIONS)
     await asyncio.sleep(state.rng.uniform(*COPY_AGE_SECONDS))
     windows = [state.open_window(host, process=False) for host in state.fleet.hosts]
@@ -136,7 +138,7 @@
 
 
 async def replace_server(state):
-    """A backend server drains or leaves without a word, and another takes its place."""
+    """Replace a backend server, which drains first or is withdrawn without notice."""
     host = state.random_host()
     instance = host.instance
     if state.rng.random() < 0.5:
@@ -152,7 +154,7 @@
 
 
 async def fatal_request(state):
-    """A request ends each server that runs it, and comes again at any node."""
+    """Repeat a request that crashes every server which runs it, at random nodes."""
     target = f"/listings/fatal-{next(_fatal_numbers)}"
     for host in state.fleet.hosts:
         host.instance.conduct.fatal |= {target}
@@ -166,13 +168,13 @@
 
 
 async def crash_server(state):
-    """A backend server ends without a cause in what it runs, and starts again."""
+    """Crash a backend server independently of the requests it runs; it restarts."""
     state.fleet.crash(state.random_host())
     await asyncio.sleep(state.fleet.down_seconds)
 
 
 async def evacuate_zone(state):
-    """A zone is evacuated for some seconds, and its servers are cold when it is back."""
+    """Evacuate a zone for a few seconds; its servers are cold afterwards."""
     zone = state.random_host().zone
     evacuation = state.evacuate(zone)
     state.fleet.evacuate(zone)
@@ -186,7 +188,7 @@
 
 
 async def make_server_cold(state):
-    """A backend server turns cold, and ends if it gets more than it bears."""
+    """Make a backend server cold; it crashes if it gets more requests than it can handle."""
     _make_cold(state.random_host())
     await asyncio.sleep(COLD_SECONDS)
 
@@ -198,22 +200,22 @@
     conduct.cold_bears = COLD_CAPACITY_PER_SECOND
 
 
-def _server_fault(seconds, **troubles):
+def _server_fault(seconds, **behaviour):
     async def fault(state):
         conduct = state.random_host().instance.conduct
-        calm = {name: getattr(type(conduct)(), name) for name in troubles}
-        for name, value in troubles.items():
+        defaults = {name: getattr(type(conduct)(), name) for name in behaviour}
+        for name, value in behaviour.items():
             setattr(conduct, name, value)
         await asyncio.sleep(seconds)
-        for name, value in calm.items():
+        for name, value in defaults.items():
             setattr(conduct, name, value)
 
-    fault.__doc__ = f"A backend server is in trouble: {troubles}."
+    fault.__doc__ = f"A backend server is faulty: {behaviour}."
     return fault
 
 
 async def change_configuration(state):
-    """Move a path to another service, several times in quick succession at times."""
+    """Move a path to another service, sometimes several times in quick succession."""
     await _move_path(state, state.rng.choice((1, 1, 3)))
 
 
@@ -228,7 +230,7 @@
         await asyncio.sleep(state.rng.uniform(0.2, 1.0))
 
 
-#: Faults of the nodes' processes; one at a time.
+#: Faults of the node processes, injected one at a time.
 KILL_ALL = "kill all"
 PROCESS_FAULTS = {
     "kill node": kill_node,
@@ -237,10 +239,10 @@
     "suspend node": suspend_node,
 }
 
-#: The store loses its last writes.
+#: The fault that loses the last writes to the store.
 RESTORE = "store restored"
 
-#: All faults; the others go on beside those of the processes.
+#: All faults; the others run concurrently with those of the processes.
 FAULTS = PROCESS_FAULTS | {
     "store refuses": _store_fault(status=503),
     "store silent": _store_fault(silent=True),
--- a/caperstack/soak/main.py
+++ b/caperstack/soak/main.py
@@ -1,4 +1,4 @@
-"""caperstack-soak: mixed faults under load with real processes, every promise checked."""
+"""caperstack-soak: run real processes under load and mixed faults, and check all guarantees."""
 
 import argparse
 import asyncio
@@ -20,17 +20,24 @@
     parser = argparse.ArgumentParser(
         prog="caperstack-soak",
         description=(
-            "Start real nodes on loopback, drive requests, and bring about faults in series that "
-            "overlap. Judges by what callers and backend servers saw. The same seed brings the "
-            "same faults; the machine's timing adds its own chance."
+            "Start real nodes on loopback, send requests, and inject overlapping series of faults. "
+            "The check uses only what callers and backend servers saw. The same seed gives the "
+            "same faults; the timing of the machine remains random."
         ),
     )
-    parser.add_argument("--fleet", choices=FLEETS, default="platform", help="what nodes run on")
-    parser.add_argument("--seconds", type=float, default=60.0, help="for each seed")
+    parser.add_argument(
+        "--fleet",
+        choices=FLEETS,
+        default="platform",
+        help="the kind of configuration that the nodes use",
+    )
+    parser.add_argument(
+        "--seconds", type=float, default=60.0, help="duration of the run for each seed"
+    )
     parser.add_argument("--seeds", type=int, nargs="+", default=[1, 2, 3])
-    parser.add_argument("--rate", type=float, default=60.0, help="requests a second")
+    parser.add_argument("--rate", type=float, default=60.0, help="requests per second")
     parser.add_argument(
-        "--without", choices=sorted(WEAKENINGS), help="switch a safeguard off (subtrees only)"
+        "--without", choices=sorted(WEAKENINGS), help="disable a safeguard (subtrees only)"
     )
     parser.add_argument("--version", action="version", version=f"%(prog)s {__version__}")
     return parser
@@ -49,8 +56,8 @@
         if found:
             print(f"  BROKEN {guarantee}: {len(found)}, first {found[:5]}")
     if verdict.unexercised:
-        print(f"  never exercised: {verdict.unexercised}")
-    print(f"  {'every promise held' if verdict.passed else 'promises were broken'}")
+        print(f"  never injected: {verdict.unexercised}")
+    print(f"  {'every guarantee held' if verdict.passed else 'guarantees were broken'}")
 
 
 def main(arguments=None):
--- a/caperstack/soak/platform.py
+++ b/caperstack/soak/platform.py
@@ -1,4 +1,4 @@
-"""A soak of nodes on the platform's stand-ins."""
+"""A soak test of nodes on the stand-ins of the platform."""
 
 import asyncio
 import itertools
@@ -23,7 +23,7 @@
 MAX_ATTEMPTS = 2
 WORK_SECONDS = 0.03
 
-#: Path, how often it is asked for, and whether a request may run once only.
+#: Path, relative frequency of requests, and whether a request may run at most once.
 PATHS = (
     ("/listings/", 4, False),
     ("/bookings/", 3, True),
@@ -31,18 +31,19 @@
     ("/moving/", 1, False),
 )
 
-#: In this share of the seeds the nodes are never all killed at once: a full stop each ten
-#: seconds would forgive whatever nodes have to remember together.
+#: Share of seeds in which the nodes are never all killed at once.  Killing all of them
+#: every ten seconds would excuse any loss of what the nodes must remember together.
 NO_KILL_ALL_SHARE = 0.5
 
-#: The rest after a fault, in seconds, at least and at most.
+#: Shortest and longest gap after a fault, in seconds.
 FAULT_GAP_SECONDS = (0.1, 0.8)
 
-#: The same after trouble of the store.  What it excuses has to hold again from two and
-#: a half seconds after its end; with a shorter rest nothing of that is ever judged.
+#: The same after a fault of the store.  The guarantees that such a fault excuses must hold
+#: again 2.5 s after its end; with a shorter gap they would never be checked.
 STORE_FAULT_GAP_SECONDS = (4.0, 6.0)
 
-#: How long a fleet may take to serve everybody again after the last fault.
+#: Time within which the fleet must serve all requests again after the last fault, in
+#: seconds, and the number of requests that check it.
 RECOVERY_SECONDS = 15.0
 RECOVERY_REQUESTS = 20
 
@@ -68,7 +69,7 @@
 
 
 async def _inject_faults(state, names, gap_seconds, until):
-    """Bring about faults, one after the other with rests between, until the time is up."""
+    """Inject the named faults one after the other, with gaps between them, until the end time."""
     for name in names:
         if now() > until:
             return
@@ -79,9 +80,9 @@
 
 
 def _fault_streams(rng):
-    """Yield endless streams of fault names, each with the rests between its faults.
+    """Yield endless streams of fault names, each with the range of gaps between its faults.
 
-    Those of processes are a stream of their own.
+    Faults of processes, of the store and of servers each form a stream.
     """
     others = [name for name in FAULTS if name not in PROCESS_FAULTS and name != RESTORE]
     store = [name for name in others if name.startswith("store")]
@@ -91,7 +92,7 @@
         processes.remove(KILL_ALL)
     for names in (processes, store, servers):
         rng.shuffle(names)
-    # Last, so that a seed brings the other faults in the same order with it and without.
+    # Inserted last, so that a seed gives the same order of the other faults as without it.
     store.insert(rng.randrange(len(store) + 1), RESTORE)
     yield itertools.cycle(processes), FAULT_GAP_SECONDS
     yield itertools.cycle(store), STORE_FAULT_GAP_SECONDS
@@ -99,28 +100,30 @@
 
 
 async def _check_recovery(state):
-    """Note a problem unless everybody is served again in time."""
+    """Record a problem unless all requests are served again in time."""
     limit = deadline_after(RECOVERY_SECONDS)
     while now() < limit:
         requests = [await ask(state, "/listings/", False) for _ in range(RECOVERY_REQUESTS)]
-        if all(one.code == 200 for one in requests):
+        if all(request.code == 200 for request in requests):
             return requests
         await asyncio.sleep(0.2)
-    state.problems.append(f"not all are served {RECOVERY_SECONDS:.0f} s after the last fault")
+    state.problems.append(
+        f"not all requests are served {RECOVERY_SECONDS:.0f} s after the last fault"
+    )
     return requests
 
 
 async def run_soak(seconds, seed, rate=60.0):
-    """Run one soak and return its `caperstack.soak.verdict.Verdict`.
+    """Run one soak test and return its `caperstack.soak.verdict.Verdict`.
 
     Parameters
     ----------
     seconds : float
-        How long requests are sent.
+        Duration for which requests are sent.
     seed : int
-        Of all chance in it, but for what the machine's timing adds.
+        Seed of all random choices; the timing of the machine remains random.
     rate : float
-        Requests a second.
+        Requests per second.
     """
     rng = random.Random(seed)
     fleet = PlatformFleet(list(SERVICES), _route_rows())
--- a/caperstack/soak/state.py
+++ b/caperstack/soak/state.py
@@ -1,4 +1,4 @@
-"""What the faults of a soak act on, and what they note for the judge."""
+"""The state of a soak test: the fleet, and the record of faults for the checks."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -10,12 +10,12 @@
 
 @dataclass
 class FaultWindow:
-    """A time in which a host's node was not itself; an open one has no end.
+    """A time in which a fault may affect the node of a host; infinite end while it lasts.
 
     Attributes
     ----------
     process : bool
-        The node's own process was in trouble, not only the store.
+        The fault affects the process of the node, not only the store.
     """
 
     host: str
@@ -26,16 +26,16 @@
 
 @dataclass(frozen=True)
 class Change:
-    """Something that holds from a moment on.
+    """A change of the configuration or of the registered backend servers.
 
     Attributes
     ----------
     at : float
-        When the store had it.
+        When it was written to the store.
     subject : str
-        The name of an instance that leaves, or of a path whose service changes.
+        The name of an instance that leaves, or a path whose service changes.
     value : str
-        The service; empty for an instance that leaves.
+        The new service of the path; empty for an instance that leaves.
     """
 
     at: float
@@ -45,7 +45,7 @@
 
 @dataclass
 class Evacuation:
-    """The time for which a zone is evacuated; an open one has no end."""
+    """A time in which a zone is evacuated; infinite end while it lasts."""
 
     zone: str
     begin: float
@@ -54,18 +54,26 @@
 
 @dataclass
 class SoakState:
-    """A fleet on the platform's stand-ins under trouble.
+    """A fleet on the stand-ins of the platform, and what happened to it.
 
     Attributes
     ----------
+    windows : list of FaultWindow
+        When faults may have affected nodes.
+    departures : list of Change
+        The instances that left.
+    configurations : list of Change
+        The services that paths were moved to.
+    problems : list of str
+        Faults seen in the nodes themselves, such as a bad exit status.
     fatal : list of str
-        The targets that end the servers which run them.
+        The request targets that crash every server which runs them.
     requests : list of caperstack.soak.client.RequestRecord
-        The requests that faults have made.
+        The requests sent by faults.
     kill_all_times : list of float
-        When all nodes ended at once, and with them all that they remembered.
+        When all nodes were killed at once, which loses all state held in their memory.
     evacuations : list of Evacuation
-        The zones that were to get no new calls, and when.
+        The zones that must get no new calls, and when.
     """
 
     fleet: object
@@ -82,29 +90,29 @@
     evacuations: list = field(default_factory=list)
 
     def print_progress(self, text):
-        """Tell what happens now, for whoever reads the run."""
+        """Print `text` with the time since the start of the run."""
         print(f"  {now() - self.began:7.2f} s: {text}", flush=True)
 
     def random_host(self):
-        """Return a host at random."""
+        """Return a random host."""
         return self.rng.choice(self.fleet.hosts)
 
     def evacuate(self, zone):
-        """Note that a zone is evacuated from now on; return the `Evacuation`."""
+        """Record that a zone is evacuated from now on, and return the `Evacuation`."""
         evacuation = Evacuation(zone, now())
         self.evacuations.append(evacuation)
         return evacuation
 
     def open_window(self, host, process=True):
-        """Note that the node of `host` is not itself from now on; return the `FaultWindow`."""
+        """Record that a fault affects the node of `host` from now on; return the `FaultWindow`."""
         window = FaultWindow(host.ip, now(), process=process)
         self.windows.append(window)
         return window
 
     def fault_active(self, begin, end, host=None, store=True):
-        """Return whether a node, that of `host` or any, was not itself between two moments.
+        """Return whether a fault affected the node of `host`, or any node, between two times.
 
-        Without `store` its process alone counts.
+        Faults of the store count only if `store` is true.
         """
         return any(
             window.begin <= end and begin <= window.end
--- a/caperstack/soak/tests/test_checks.py
+++ b/caperstack/soak/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""The judge of a soak: each promise can be found broken, and calm runs are clean."""
+"""Test that the checks of a soak find each broken guarantee, and none in a good run."""
 
 import contextlib
 import io
@@ -32,75 +32,79 @@
         self.ledger.append(Run(name, at, instance, service, target))
 
     def broken(self, code=200, complete=True, path="/bookings/", at_most_once=True, begun=10.0):
-        asked = RequestRecord("r", path, "h1", begun, begun + 0.1, code, complete, at_most_once)
-        return set(check_guarantees(self.state, [asked], 2).broken)
+        request = RequestRecord("r", path, "h1", begun, begun + 0.1, code, complete, at_most_once)
+        return set(check_guarantees(self.state, [request], 2).broken)
 
-    def test_calm_request_is_clean(self):
+    def test_good_request_breaks_no_guarantee(self):
         self.run_once()
         self.assertEqual(self.broken(), set())
 
-    def test_booking_runs_twice(self):
+    def test_booking_that_runs_twice_is_found(self):
         self.run_once()
         self.run_once(at=10.2)
         self.assertEqual(self.broken(), {"at most once"})
 
-    def test_refused_booking_has_run(self):
+    def test_refused_booking_that_has_run_is_found(self):
         self.run_once()
         self.assertEqual(self.broken(code=503), {"not run is true"})
 
-    def test_answer_is_of_somebody_else(self):
+    def test_answer_of_another_request_is_found(self):
         self.run_once()
         self.assertEqual(self.broken(complete=False), {"whole and own"})
         self.ledger.clear()
         self.assertEqual(self.broken(), {"answered without a run"})
 
-    def test_more_attempts_than_allowed(self):
+    def test_too_many_attempts_are_found(self):
         for _ in range(3):
             self.run_once(service="rates", target="/rates/")
         self.assertEqual(self.broken(path="/rates/", at_most_once=False), {"attempts"})
 
-    def test_cut_counts_unless_the_host_was_in_trouble(self):
+    def test_closed_connection_counts_unless_a_fault_affected_the_host(self):
         self.assertEqual(self.broken(code=CONNECTION_CLOSED), {"cut by planned work"})
         self.assertEqual(self.broken(code=CONNECTION_REFUSED), set())
         self.state.windows.append(FaultWindow("h1", 9.0, 10.05))
         self.assertEqual(self.broken(code=CONNECTION_CLOSED), set())
 
-    def test_fatal_request_is_sent_on(self):
-        # Three servers have ended of it; four sends follow after three seconds, or
-        # while a node is not itself.
+    def test_fatal_request_that_is_not_blocked_is_found(self):
+        # Three servers have crashed; four sends follow more than three seconds later.
+        # They are excused only if a fault has affected the process of the node.
         target = "/listings/fatal"
         self.state.fatal.append(target)
         self.fleet.ends += [ServerEnd(float(at), f"i{at}", target) for at in (1, 2, 3)]
         for number in range(4):
             self.run_once(f"r{number}", 8.0 + number / 10, "i4", "listings", target)
-        asked = [RequestRecord(f"r{n}", target, "h1", 8.0, 9.0, 502, True, False) for n in range(4)]
+        requests = [
+            RequestRecord(f"r{n}", target, "h1", 8.0, 9.0, 502, True, False) for n in range(4)
+        ]
         self.assertEqual(
-            set(check_guarantees(self.state, asked, 2).broken), {"fatal request kept away"}
+            set(check_guarantees(self.state, requests, 2).broken), {"fatal request kept away"}
         )
         self.state.windows.append(FaultWindow("h1", 6.0, 7.0, process=False))
         self.assertEqual(
-            set(check_guarantees(self.state, asked, 2).broken), {"fatal request kept away"}
+            set(check_guarantees(self.state, requests, 2).broken), {"fatal request kept away"}
         )
         self.state.windows.append(FaultWindow("h1", 6.0, 7.0))
-        self.assertEqual(check_guarantees(self.state, asked, 2).broken, {})
+        self.assertEqual(check_guarantees(self.state, requests, 2).broken, {})
 
-    def test_fatal_request_is_forgotten_with_all_nodes(self):
-        # All nodes are killed after the third end: three more may end before it is
-        # known again.
+    def test_killing_all_nodes_resets_the_crashes_of_a_fatal_request(self):
+        # All nodes are killed after the third crash, which loses the count: three more
+        # servers may crash before the request is blocked again.
         target = "/listings/fatal"
         self.state.fatal.append(target)
         self.fleet.ends += [ServerEnd(float(at), f"i{at}", target) for at in (1, 2, 3)]
         self.state.kill_all_times.append(4.0)
         for number in range(4):
             self.run_once(f"r{number}", 8.0 + number / 10, "i4", "listings", target)
-        asked = [RequestRecord(f"r{n}", target, "h1", 8.0, 9.0, 502, True, False) for n in range(4)]
-        self.assertEqual(check_guarantees(self.state, asked, 2).broken, {})
+        requests = [
+            RequestRecord(f"r{n}", target, "h1", 8.0, 9.0, 502, True, False) for n in range(4)
+        ]
+        self.assertEqual(check_guarantees(self.state, requests, 2).broken, {})
 
-    def test_run_that_nobody_asked_for(self):
+    def test_run_without_a_request_is_found(self):
         self.run_once(name="other")
         self.assertIn("nobody asked", self.broken(code=503))
 
-    def test_run_after_the_server_left(self):
+    def test_run_after_the_server_left_is_found(self):
         self.state.departures.append(Change(5.0, "i1"))
         self.run_once()
         self.assertEqual(self.broken(), {"after leaving"})
@@ -109,7 +113,7 @@
         self.state.windows.append(FaultWindow("h1", 6.0, 7.0))
         self.assertEqual(self.broken(), set())
 
-    def test_old_configuration_is_acted_on(self):
+    def test_run_under_an_outdated_configuration_is_found(self):
         self.state.configurations += [Change(0.0, "/moving/", "a"), Change(5.0, "/moving/", "b")]
         self.run_once(service="a", target="/moving/")
         self.state.windows.append(FaultWindow("h2", 9.0, 11.0))
@@ -120,11 +124,11 @@
         self.run_once(service="b", target="/moving/")
         self.assertEqual(self.broken(path="/moving/", at_most_once=False), set())
 
-    def test_route_goes_to_another_service(self):
+    def test_run_at_the_wrong_service_is_found(self):
         self.run_once(service="rates")
         self.assertEqual(self.broken(), {"configuration in force"})
 
-    def test_run_in_an_evacuated_zone(self):
+    def test_run_in_an_evacuated_zone_is_found(self):
         self.run_once()
         self.state.evacuations.append(Evacuation("a", 7.0, 11.0))
         self.assertEqual(self.broken(), {"evacuated zone"})
@@ -135,13 +139,13 @@
         self.state.evacuations[0] = Evacuation("b", 1.0)
         self.assertEqual(self.broken(), set())
 
-    def test_cold_server_that_got_more_than_it_bears(self):
+    def test_overload_of_a_cold_server_is_found(self):
         self.run_once()
         self.fleet.hosts[0].instance.overwhelmed = 1
         self.assertEqual(self.broken(), {"cold server spared"})
 
-    def test_node_that_ended_badly(self):
-        self.state.problems.append("h1 ended with 1")
+    def test_bad_exit_of_a_node_is_found(self):
+        self.state.problems.append("h1 exited with status 1")
         self.run_once()
         self.assertEqual(self.broken(), {"node"})
 
@@ -149,7 +153,7 @@
 class TestMain(unittest.TestCase):
     """`main`."""
 
-    def test_unknown_fleet_is_told(self):
+    def test_unknown_fleet_is_rejected(self):
         err = io.StringIO()
         with contextlib.redirect_stderr(err), self.assertRaises(SystemExit) as caught:
             main(["--fleet", "other"])
--- a/caperstack/soak/tests/test_soak.py
+++ b/caperstack/soak/tests/test_soak.py
@@ -1,13 +1,13 @@
-"""A short soak with one seed, so that each run of the tests sees real nodes under mixed faults."""
+"""A short soak test with one seed, so that every test run covers mixed faults on real nodes."""
 
 import asyncio
 import unittest
 
 from caperstack.soak.platform import run_soak
 
-#: With this seed a request ends servers and comes again, beside nodes that are
-#: killed, stopped and suspended, and nodes are never all killed at once: with
-#: suspects switched off the request goes on to servers.
+#: With this seed a request that crashes servers is repeated while nodes are killed,
+#: stopped and suspended, and the nodes are never all killed at once.  With suspects
+#: disabled the request still reaches servers, so the test detects that.
 SEED = 4
 SECONDS = 40.0
 
@@ -15,7 +15,7 @@
 class TestShortSoak(unittest.TestCase):
     """`run_soak` on six hosts."""
 
-    def test_every_promise_holds(self):
+    def test_every_guarantee_holds(self):
         verdict = asyncio.run(run_soak(SECONDS, SEED))
         self.assertEqual(verdict.broken, {})
         self.assertGreater(verdict.faults["fatal request"], 0)
--- a/caperstack/soak/verdict.py
+++ b/caperstack/soak/verdict.py
@@ -1,4 +1,4 @@
-"""What a soak found."""
+"""The result of a soak test."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -8,20 +8,20 @@
 
 @dataclass
 class Verdict:
-    """What broke, by promise, and what was exercised.
+    """The broken guarantees and the faults that were exercised.
 
     Attributes
     ----------
     request_count : int
-        Requests of callers.
+        Number of requests of callers.
     outcomes : Counter
-        How their tries ended, by status or by the product's name of the outcome.
+        Number of requests by status, or by name of the outcome.
     faults : Counter
-        The faults that happened, by kind.
+        Number of faults injected, by kind.
     kinds : frozenset
-        The kinds of fault that there are.
+        All kinds of fault.
     broken : dict
-        For each promise the requests that show it broken.
+        For each guarantee the requests, or other cases, that broke it.
     """
 
     request_count: int = 0
@@ -32,10 +32,10 @@
 
     @property
     def passed(self):
-        """Whether every promise held."""
+        """Whether every guarantee held."""
         return not any(self.broken.values())
 
     @property
     def unexercised(self):
-        """The kinds of fault that never happened."""
+        """The kinds of fault that were never injected."""
         return sorted(self.kinds - set(self.faults))
