--- a/caperstack/tests/test_commands.py
+++ b/caperstack/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The command lines: what a stranger meets."""
+"""Test the command lines of the programs, and the time line of events."""
 
 import contextlib
 import io
@@ -41,7 +41,7 @@
                 self.assertEqual(status, 0)
                 self.assertIn("caperstack-", out)
 
-    def test_node_checks_the_examples(self):
+    def test_node_check_accepts_the_examples(self):
         for path in sorted(EXAMPLES.glob("*/nodes/*.json")):
             status, out, _ = self.run_main(node, "--check", str(path))
             self.assertEqual((status, path.stem in out), (0, True))
@@ -52,14 +52,14 @@
         self.assertEqual(status, 2)
         self.assertIn("zone", err)
 
-    def test_settings_check_of_the_examples(self):
+    def test_settings_check_accepts_the_examples(self):
         for name in ("tee-times", "tatra"):
             status, out, _ = self.run_main(
                 settings, "check", str(EXAMPLES / name / "subtrees.json")
             )
             self.assertEqual((status, "REFUSED" in out), (0, False))
 
-    def test_settings_check_shows_a_claim_outside_the_subtree(self):
+    def test_settings_check_refuses_a_route_outside_the_grant(self):
         claim = {"routes": [{"path": "/x", "service": "s"}]}
         status, out, _ = self.run_main(settings, "check", self.write({"": {}, "team": claim}))
         self.assertEqual(status, 1)
@@ -71,7 +71,7 @@
         _, out, _ = self.run_main(settings, "diff", old, new)
         self.assertIn("+service s: EffectiveService(policy='random'", out)
 
-    def test_load_goes_to_loopback_only(self):
+    def test_load_refuses_addresses_other_than_loopback(self):
         mix = self.write({"classes": [{"name": "a", "path": "/a"}]})
         status, _, err = self.run_main(load, "192.0.2.1:80", "--mix", mix)
         self.assertEqual(status, 2)
@@ -85,7 +85,7 @@
 
 
 class TestTimeline(unittest.TestCase):
-    """Merging and showing events."""
+    """`merge_events`, `format_events` and `html_page`."""
 
     def event(self, host, clock, wall, text):
         return {
@@ -98,16 +98,16 @@
             "text": text,
         }
 
-    def test_cause_stands_before_effect_though_clocks_differ(self):
-        # The owner's wall clock is a second behind.  By wall clock it would
-        # have run the call before the entry sent it.
+    def test_cause_sorts_before_effect_though_wall_clocks_differ(self):
+        # The wall clock of the owner is one second behind: sorted by wall clock, the
+        # owner would have run the call before the entry sent it.
         entry = HostEvents("a", [self.event("entry", 10_000_000, 10_000_000, "sent")])
         owner = HostEvents("b", [self.event("owner", 10_000_001, 9_000_000, "ran")])
         lines = list(format_events(merge_events([owner, entry])))
         self.assertIn("sent", lines[0])
         self.assertIn("clock 1000.0 ms behind", lines[1])
 
-    def test_picture_is_one_escaped_page(self):
+    def test_html_page_escapes_texts(self):
         events = [self.event("a", 1, 1, "<script>"), self.event("b", 5, 5, "ran")]
         page = html_page(events)
         self.assertNotIn("<script>", page)
--- a/caperstack/tests/test_faults.py
+++ b/caperstack/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Failures between nodes, with real processes behind fault-injecting proxies."""
+"""Test failures between nodes, with real processes behind fault-injecting proxies."""
 
 import asyncio
 import random
@@ -31,18 +31,18 @@
 
 
 async def runs_of(fleet, name):
-    """Return how often a call ran, over all backend servers."""
+    """Return how often a call ran on all backend servers together."""
     return merged_ledger(await fleet.ledgers())[name]
 
 
 class FaultTestCase(unittest.IsolatedAsyncioTestCase):
-    """What the tests of failures share."""
+    """Helpers for the tests of failures."""
 
     async def until(self, condition):
         await self.fleet.until(condition, what=self.id())
 
     async def in_flight(self, count):
-        """Wait until `count` calls run in the backend servers."""
+        """Wait until the backend servers have started `count` calls."""
 
         async def condition():
             ledgers = await self.fleet.ledgers()
@@ -55,38 +55,37 @@
 
 
 class TestLinks(FaultTestCase):
-    """Connections between entry and owner that break, stall or repeat."""
+    """Connections between entry and owner that break, stall or duplicate messages."""
 
     async def asyncSetUp(self):
         self.proxied = await self.enterAsyncContext(
             ProxiedFleet(2, remote_subtrees(), backend=SLOW)
         )
         self.fleet = self.proxied.fleet
-        # Open the links, and let keepers grow old enough to vouch.
+        # Open the links, and wait until the keepers have run long enough to vouch.
         for _ in range(2):
             await call(self.fleet, "n0", "GET", "/listings")
         self.started = sum(v["runs"] for v in (await self.fleet.ledgers()).values())
 
     async def bookings(self, count):
-        """Begin bookings through n0, half of them to n1; return their tasks."""
+        """Start bookings through n0, half of them to n1, and return their tasks."""
         tasks = [asyncio.create_task(call(self.fleet, "n0")) for _ in range(count)]
         await self.in_flight(self.started + count)
         return tasks
 
-    async def test_lost_connection_is_resolved_with_the_owner(self):
-        # Bookings run at the owner when the connection to it breaks.  The
-        # entry must not send them elsewhere, and need not give up either: it
-        # asks the owner over a new connection and gets the answers it kept.
+    async def test_outcome_of_calls_on_a_lost_connection_comes_from_the_owner(self):
+        # The connection breaks while bookings run at the owner.  The entry must not send
+        # them elsewhere.  It gets the answers that the owner kept over a new connection.
         tasks = await self.bookings(6)
         self.proxied.proxies["n0", "n1"].cut()
         for name, response in await asyncio.gather(*tasks):
             self.assert_outcome(response, "answered")
             self.assertEqual(await runs_of(self.fleet, name), 1)
 
-    async def test_killed_owner_proves_nothing_when_it_is_back(self):
-        # The owner's node is killed while bookings run in its backend server,
-        # and starts again before they are done.  The new node has never heard
-        # of them; "not run" from it would make them run twice.
+    async def test_restarted_owner_does_not_report_earlier_calls_as_not_run(self):
+        # The owner is killed while bookings run on its backend server, and restarts
+        # before they are done.  It does not know them any more; if it answered "not
+        # run", they would run twice.
         tasks = await self.bookings(6)
         self.fleet.nodes["n1"].signal(signal.SIGKILL)
         await self.fleet.nodes["n1"].ended()
@@ -96,8 +95,8 @@
             self.assertEqual(await runs_of(self.fleet, name), 1)
 
     async def test_one_way_partition_ends_as_unknown_and_runs_once(self):
-        # The call gets through to the owner and runs, its answer does not get
-        # back.  The caller is told "unknown" at the deadline; it ran once.
+        # The call reaches the owner and runs, but its answer is held back.  The caller
+        # gets "unknown" at the deadline, and the call has run once.
         self.proxied.proxies["n0", "n1"].answers.hold = True
         pairs = [await call(self.fleet, "n0", milliseconds=900) for _ in range(4)]
         outcomes = {response.headers[OUTCOME] for _, response in pairs}
@@ -106,18 +105,18 @@
             self.assertIn(response.headers[OUTCOME], ("unknown", "answered"))
             self.assertLessEqual(await runs_of(self.fleet, name), 1)
 
-    async def test_duplicated_answers_reach_nobody_else(self):
-        # Every answer between the nodes comes twice: the second copy must not
-        # be taken for the answer to another call.
+    async def test_duplicated_answer_is_not_taken_for_another_call(self):
+        # Every answer between the nodes arrives twice.  The second copy must not be
+        # taken for the answer to another call.
         self.proxied.proxies["n0", "n1"].answers.duplicate = 1.0
         for name, response in [await call(self.fleet, "n0") for _ in range(6)]:
             self.assertEqual(response.code, 200)
             self.assertTrue(response.body.startswith(name.encode()))
 
-    async def test_stopped_owner_refuses_what_it_held(self):
-        # The owner's process is stopped, a booking waits in its socket buffer
-        # and its caller is told "unknown" at the deadline.  When the process
-        # wakes, the booking is late by the length of the stop: it must not run.
+    async def test_stopped_owner_does_not_run_expired_calls(self):
+        # The process of the owner is stopped while a booking waits in its socket buffer,
+        # and the caller gets "unknown" at the deadline.  When the process resumes, the
+        # booking is late by the length of the stop and must not run.
         node = self.fleet.nodes["n1"]
         node.signal(signal.SIGSTOP)
         pairs = [await call(self.fleet, "n0", milliseconds=700) for _ in range(4)]
@@ -130,10 +129,10 @@
         for name in unknown:
             self.assertEqual(await runs_of(self.fleet, name), 0)
 
-    async def test_partition_heals(self):
-        # Nothing gets through between the nodes and no connection breaks.  A
-        # listing that was sent to the far side is tried on the near one once
-        # the link is silent; after the partition both sides are used again.
+    async def test_both_sides_are_used_again_after_a_partition(self):
+        # No data passes between the nodes, but no connection breaks.  A listing that was
+        # sent to the other node is retried locally once the link is silent; after the
+        # partition both sides must be used again.
         self.proxied.proxies["n0", "n1"].partition()
         self.proxied.proxies["n1", "n0"].partition()
         for host in ("n0", "n1"):
@@ -154,17 +153,17 @@
 
 
 class TestLeaving(FaultTestCase):
-    """Drains and restarts, of nodes and backend servers."""
+    """Drains and restarts of nodes and backend servers."""
 
     async def asyncSetUp(self):
         self.fleet = await self.enterAsyncContext(small_fleet(2, remote_subtrees(), backend=SLOW))
         for _ in range(2):
             await call(self.fleet, "n0", "GET", "/listings")
 
-    async def test_restart_cuts_nothing_on_either_side(self):
-        # A node is told to stop while it runs calls as owner for another
-        # entry, and waits for calls as entry for its own callers.  All of them
-        # get their answers before it ends.
+    async def test_stopping_node_answers_its_calls_as_entry_and_as_owner(self):
+        # A node is told to stop while it runs calls as owner for another entry, and
+        # waits for calls as entry of its own callers.  All of them must get their answers
+        # before it exits.
         tasks = [asyncio.create_task(call(self.fleet, h)) for h in ("n0", "n1") * 6]
         await self.in_flight(len(tasks))
         self.fleet.nodes["n1"].signal(signal.SIGTERM)
@@ -176,8 +175,8 @@
         self.assert_outcome(response, "answered")
 
     async def test_draining_backend_gets_no_new_work(self):
-        # A backend server says that it drains.  Two seconds later no node
-        # sends it work, and calls go on at the other one.
+        # A backend server reports that it drains.  Two seconds later no node may send it
+        # calls, and all calls must be answered by the other server.
         await self.fleet.control("n1", draining=True)
 
         async def noticed():
@@ -199,7 +198,7 @@
 
 
 class TestKeys(FaultTestCase):
-    """A caller's own retry under the same key."""
+    """Retries by the caller with the same idempotency key."""
 
     async def asyncSetUp(self):
         self.fleet = await self.enterAsyncContext(small_fleet(3, remote_subtrees()))
@@ -220,10 +219,10 @@
         self.assertEqual(sum(ran), 1)
         self.assertEqual([r.code for _, r in pairs], [200, 409, 409, 409])
 
-    async def test_answer_lost_by_the_backend_server_is_not_run_again(self):
-        # The backend server runs a booking and dies without an answer.  The
-        # guest's desk is told "unknown" and tries again under the same key,
-        # through every node, while one keeper restarts with empty memory.
+    async def test_call_with_a_lost_answer_is_not_run_again(self):
+        # The backend server runs a booking and crashes before it answers.  The caller
+        # gets "unknown" and retries with the same key through every node, while one
+        # keeper restarts without its records.
         for host in self.fleet.settings:
             await self.fleet.control(host, die_after_run=True)
         key = new_key(self.random)
@@ -242,34 +241,34 @@
             names.append(retried)
         self.assertEqual(sum([await runs_of(self.fleet, n) for n in names]), 1)
 
-    async def test_key_of_another_request_is_refused(self):
+    async def test_key_reused_for_another_request_is_refused(self):
         key = new_key(self.random)
         await call(self.fleet, "n0", key=key, body=b"sweep 1")
         _, response = await call(self.fleet, "n1", key=key, body=b"sweep 2")
         self.assertEqual((response.code, response.headers[OUTCOME]), (422, "not-run"))
 
 
-class TestRubbish(FaultTestCase):
-    """Strangers at the ports of a node."""
+class TestMalformedInput(FaultTestCase):
+    """Malformed or incomplete input at the ports of a node."""
 
     async def asyncSetUp(self):
         self.fleet = await self.enterAsyncContext(small_fleet(1))
 
-    async def test_rubbish_at_the_peer_port_harms_nobody(self):
+    async def test_malformed_bytes_at_the_peer_port_are_rejected(self):
         address = split_address(self.fleet.settings["n0"]["peer_address"])
-        for rubbish in (b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 5000, bytes(100)):
+        for malformed in (b"GET / HTTP/1.1\r\n\r\n", b"\xff" * 5000, bytes(100)):
             reader, writer = await asyncio.open_connection(*address)
-            writer.write(rubbish)
-            # The node's own hello, then the end: nothing else is given.
-            given = await asyncio.wait_for(reader.read(), 30)
-            self.assertLess(len(given), 300)
+            writer.write(malformed)
+            # The node sends its own hello and closes the connection.
+            received = await asyncio.wait_for(reader.read(), 30)
+            self.assertLess(len(received), 300)
             writer.close()
         _, response = await call(self.fleet, "n0")
         self.assert_outcome(response, "answered")
         reply = await request(self.fleet.settings["n0"]["operator_address"], "GET", "/metrics")
         self.assertIn(b"caperstack_peer_errors_total", reply.body)
 
-    async def test_half_a_request_is_no_call(self):
+    async def test_incomplete_request_is_not_run(self):
         address = split_address(self.fleet.caller_address("n0"))
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"POST /bookings HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nhalf")
@@ -282,7 +281,7 @@
 
 
 class TestPeerKeys(FaultTestCase):
-    """A fleet whose nodes prove who they are."""
+    """A fleet whose nodes authenticate each other with TLS certificates."""
 
     async def asyncSetUp(self):
         authority = trustme.CA()
@@ -297,9 +296,9 @@
             small_fleet(2, remote_subtrees(), security=security)
         )
 
-    async def test_calls_cross_and_a_stranger_gets_nothing(self):
+    async def test_peers_are_served_and_an_unauthenticated_client_is_not(self):
         async def crossed():
-            # n0 may have dialled n1 before it listened, and try again later.
+            # n0 may have tried to connect before n1 listened, and retries later.
             _, response = await call(self.fleet, "n0")
             self.assert_outcome(response, "answered")
             return (await self.fleet.ledgers())["n1"]["runs"] > 0
@@ -308,7 +307,7 @@
         address = split_address(self.fleet.settings["n0"]["peer_address"])
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"\x00" * 64)
-        given = await asyncio.wait_for(reader.read(), 30)
-        # A TLS alert at the most, and no hello.
-        self.assertLess(len(given), 32)
+        received = await asyncio.wait_for(reader.read(), 30)
+        # At most a TLS alert, and no hello message.
+        self.assertLess(len(received), 32)
         writer.close()
--- a/caperstack/tests/test_path.py
+++ b/caperstack/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: caller, entry, owner, backend server and back, with real processes."""
+"""Test the whole path of a call with real processes: caller, entry, owner, backend server."""
 
 import unittest
 
@@ -33,7 +33,7 @@
             )
             self.assertEqual(response.body, expected_body(name, 8 * MEBIBYTE, body))
 
-    async def test_body_beyond_the_bound_is_refused_unread(self):
+    async def test_body_beyond_the_limit_is_refused_unread(self):
         name, response = await call(self.fleet, "n0", body=bytes(100 * MEBIBYTE))
         self.assertEqual((response.code, response.headers[OUTCOME]), (413, "not-run"))
         self.assertNotIn(name, merged_ledger(await self.fleet.ledgers()))
@@ -44,7 +44,7 @@
         _, response = await call(self.fleet, "n0", "HEAD", "/listings")
         self.assertEqual((response.code, response.body), (200, b""))
 
-    async def test_unknown_route(self):
+    async def test_unknown_route_is_not_run(self):
         _, response = await call(self.fleet, "n0", path="/nowhere")
         self.assertEqual((response.code, response.headers[OUTCOME]), (404, "not-run"))
 
--- a/caperstack/tests/test_settings.py
+++ b/caperstack/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings in force everywhere, through outages, stale replicas and restarts."""
+"""Test that settings reach all nodes despite outages, stale replicas and restarts."""
 
 import signal
 import unittest
@@ -49,7 +49,7 @@
         await self.fleet.platform_request("configuration", "POST", "/control", commands)
 
     async def held(self, host, path):
-        """Return what a node holds of a subtree."""
+        """Return the subtree as a node holds it."""
         subtrees = (await self.fleet.operator(host, "/settings"))["subtrees"]
         return next(subtree for subtree in subtrees if subtree["path"] == path)
 
@@ -70,12 +70,12 @@
 
 
 class TestOutage(SettingsTestCase):
-    """The configuration service fails, lags and lies."""
+    """The configuration service is down, serves stale data or an invalid subtree."""
 
     async def test_stale_replica_reverts_nothing(self):
-        # A change is in force everywhere.  Then the service answers from a
-        # replica that has not seen it; a node restarts meanwhile, with no
-        # memory.  Callers must not see the change undone anywhere.
+        # After a change is in force everywhere, the service answers from a replica
+        # without it, and nodes restart with no state.  The change must not be undone
+        # on any node.
         revision = await self.put("t", team("/t", 4.0))
         await self.everywhere("t", revision)
         await self.control(stale=True)
@@ -84,7 +84,7 @@
             self.assertEqual((await self.held(host, "t"))["revision"], revision)
         await self.everywhere("t", revision)
 
-    async def test_deleted_stays_deleted(self):
+    async def test_stale_replica_does_not_restore_a_deleted_subtree(self):
         revision = await self.put("t", None)
         await self.everywhere("t", revision)
         await self.control(stale=True)
@@ -94,13 +94,13 @@
             _, response = await call(self.fleet, host, path="/t")
             self.assertEqual(response.code, 404)
 
-    async def test_new_node_fills_from_peers_during_an_outage(self):
+    async def test_restarted_node_gets_settings_from_peers_during_an_outage(self):
         await self.control(outage=True)
         await self.restart("n3")
         _, response = await call(self.fleet, "n3", path="/t")
         self.assertEqual(response.code, 200)
 
-    async def test_bad_subtree_is_refused_and_others_change(self):
+    async def test_invalid_subtree_is_refused_without_blocking_others(self):
         bad = await self.put("t", {"routes": [{"path": "no slash", "service": "s"}]})
         good = await self.put("u", team("/u", 3.0))
         await self.everywhere("u", good)
@@ -109,7 +109,7 @@
             held = [await self.held(host, "t") for host in ("n0", "n1", "n2")]
             return any(h["refused_revision"] == bad for h in held)
 
-        await self.fleet.until(refused, what="refusal shown")
+        await self.fleet.until(refused, what="the invalid revision is reported as refused")
         for host in self.fleet.nodes:
             held = await self.held(host, "t")
             self.assertLess(held["revision"], bad)
@@ -127,18 +127,19 @@
             await self.fleet.ready(host)
         await self.fleet.settled()
         after = (await self.fleet.platform_request("configuration", "GET", "/calls"))["calls"]
-        # All six are readers here: an index, three bodies and a watch each.
+        # All six nodes read from the service here: an index, three subtree bodies and
+        # a watch each.
         self.assertLessEqual(after - before, 6 * 6)
 
 
-class TestOneWitness(SettingsTestCase):
-    """One node alone can reach the configuration service."""
+class TestOneReader(SettingsTestCase):
+    """Only one node can reach the configuration service."""
 
     dead_configuration = True
 
-    async def test_change_that_one_node_saw_reaches_all(self):
-        # A change is accepted, one node reads it, and the service goes down
-        # before anyone else could.  It must be in force everywhere all the same.
+    async def test_change_read_by_one_node_reaches_all(self):
+        # A change is accepted, and no other node can read it from the service.  It must
+        # still come into force everywhere.
         revision = await self.put("t", team("/t", 2.0))
         await self.everywhere("t", revision)
         sources = {(await self.held(host, "t"))["source"] for host in self.fleet.nodes}
@@ -147,12 +148,12 @@
 
 
 class TestHosts(SettingsTestCase):
-    """Hosts are killed and replaced under load."""
+    """Hosts are killed and replaced while calls are sent."""
 
-    async def test_third_of_the_hosts_is_killed_and_replaced(self):
-        # Two of six hosts die at once.  Callers of the others may meet a
-        # broken link once; then all calls are answered, before the host list
-        # shows the death and after new hosts have taken over.
+    async def test_loss_of_a_third_of_the_hosts_fails_few_calls(self):
+        # Two of six hosts fail at once.  Calls at the other nodes may each meet a broken
+        # link once.  After that all calls must be answered, both before the host list
+        # shows the loss and after new hosts have replaced them.
         for host in ("n4", "n5"):
             self.fleet.nodes[host].signal(signal.SIGKILL)
             await self.fleet.nodes[host].ended()
