--- a/caperstack/admission/follower.py
+++ b/caperstack/admission/follower.py
@@ -197,7 +197,7 @@
     def _on_end(self, end):
         self._metrics.count("backend_ends")
         self._suspects.note_end(end.number, [work.fingerprint for work in end.works.values()])
-        self._events.belief(
+        self._events.log_state(
             "backend server ended",
             instance=end.instance,
             end=f"{end.number:016x}",
--- a/caperstack/backend/pace.py
+++ b/caperstack/backend/pace.py
@@ -125,7 +125,7 @@
     def _hear_cold(self, health):
         readable = not health.unreadable
         if self._readable and not readable:
-            self._events.belief("foreign header", header="cold", value=health.unreadable)
+            self._events.log_state("foreign header", header="cold", value=health.unreadable)
         self._readable = readable
         self._owner.hear_cold(health.cold_seconds)
 
--- a/caperstack/events/causes_main.py
+++ b/caperstack/events/causes_main.py
@@ -83,7 +83,7 @@
     print("\n".join(_table("all", windows)))
     for window in sorted(windows, key=lambda window: window.credit)[: options.worst]:
         print("\n".join(_table(f"from {window.start_seconds:g} s", [window])))
-    print(f"{left_out} lines were left out by the nodes to keep the log bounded")
+    print(f"{left_out} lines were dropped by the nodes to limit the log")
     return 0
 
 
--- a/caperstack/events/ring.py
+++ b/caperstack/events/ring.py
@@ -130,8 +130,8 @@
             step, reason, id=call.request_id, service=call.service, route=call.route, **inputs
         )
 
-    def belief(self, kind, **fields):
-        """Log a change of the state that this process assumes for itself or others."""
+    def log_state(self, kind, **fields):
+        """Log a state change without recording an event."""
         self._log.state(kind, **fields)
 
     def failure(self, kind, **fields):
--- a/caperstack/events/tests/test_log.py
+++ b/caperstack/events/tests/test_log.py
@@ -62,8 +62,8 @@
             log.line("entry sends", id=str(number))
             if not number % 100:
                 log.state("state", subject="settings", new=number)
-        told = [line["new"] for line in self.lines() if line["kind"] == "state"]
-        self.assertEqual(told, list(range(0, 2000, 100)))
+        logged = [line["new"] for line in self.lines() if line["kind"] == "state"]
+        self.assertEqual(logged, list(range(0, 2000, 100)))
 
     def test_frequent_refusal_reason_does_not_drop_rare_ones(self):
         """A rare reason is logged beside a frequent one, and dropped lines are counted."""
--- a/caperstack/platform/__main__.py
+++ b/caperstack/platform/__main__.py
@@ -79,7 +79,9 @@
         try:
             new = read_boot(self._path).here
         except CaperstackError as error:
-            events.belief("reload", cause=cause, outcome=f"refused, the last good stays: {error}")
+            events.log_state(
+                "reload", cause=cause, outcome=f"refused, the last good stays: {error}"
+            )
             return
         backend = self._here.backend
         changed = (backend.address, backend.service) != (new.backend.address, new.backend.service)
@@ -87,7 +89,7 @@
             self._kernel.find("backend client").move(new.backend.address)
         backend.address = new.backend.address
         backend.service = new.backend.service
-        events.belief("reload", cause=cause, outcome="changed" if changed else "same")
+        events.log_state("reload", cause=cause, outcome="changed" if changed else "same")
 
 
 async def _serve(boot, path, log):
--- a/caperstack/platform/fleet.py
+++ b/caperstack/platform/fleet.py
@@ -148,7 +148,7 @@
             return True
         if path not in self._unnamed:
             self._unnamed.add(path)
-            self._events.belief(
+            self._events.log_state(
                 "foreign entry", key=entry.instance, reason="service: not configured"
             )
         return False
--- a/caperstack/platform/reader.py
+++ b/caperstack/platform/reader.py
@@ -244,7 +244,7 @@
             return
         held = self._settings.get(item.key)
         if held is not None and version < held.revision:
-            self._events.belief(
+            self._events.log_state(
                 "passed over", key=item.key, version=version, held_version=held.revision
             )
         self._settings.take(item.key, version, document, "store")
@@ -291,7 +291,7 @@
             if key not in self._foreign and len(self._foreign) < FOREIGN_TOLD_MOST:
                 self._foreign.add(key)
                 self._metrics.count("foreign_entries")
-                self._events.belief("foreign entry", key=key, reason=reason[:REASON_MOST])
+                self._events.log_state("foreign entry", key=key, reason=reason[:REASON_MOST])
         self._foreign &= foreign.keys()
 
     def _take_server(self, item, entry):
--- a/caperstack/platform/standin/growth.py
+++ b/caperstack/platform/standin/growth.py
@@ -69,7 +69,7 @@
     def state(self, *_arguments, **_fields):
         """Tell nobody."""
 
-    def belief(self, *_arguments, **_fields):
+    def log_state(self, *_arguments, **_fields):
         """Tell nobody."""
 
     def hook(self, _hook):
--- a/caperstack/platform/tests/readercase.py
+++ b/caperstack/platform/tests/readercase.py
@@ -54,5 +54,5 @@
         return None if held is None else held.parsed
 
     def foreign_lines(self):
-        lines = [c for c in self.events.belief.call_args_list if c.args[0] == "foreign entry"]
+        lines = [c for c in self.events.log_state.call_args_list if c.args[0] == "foreign entry"]
         return [(line.kwargs["key"], line.kwargs["reason"]) for line in lines]
--- a/caperstack/platform/tests/test_fleet.py
+++ b/caperstack/platform/tests/test_fleet.py
@@ -107,7 +107,9 @@
         await self.put("i2", document("10.0.0.2", service="t"))
         await self.put("i2", document("10.0.0.2", service="t", slots=9))
         self.assertEqual(self.hosts(), ["10.0.0.1"])
-        told = [call for call in self.events.belief.mock_calls if call.args == ("foreign entry",)]
+        told = [
+            call for call in self.events.log_state.mock_calls if call.args == ("foreign entry",)
+        ]
         self.assertEqual(len(told), 1)
         self.take(CONFIGURATION_KEY, configuration("s", "t"))
         await asyncio.sleep(0)
--- a/caperstack/platform/tests/test_restore.py
+++ b/caperstack/platform/tests/test_restore.py
@@ -63,7 +63,7 @@
         self.read_at(19, 0, [configured(19, 19)])
         for version in (16, 16, 17, 19):
             self.read_at(20, 0, [configured(version, 20)])
-        calls = self.events.belief.call_args_list
+        calls = self.events.log_state.call_args_list
         told = [c.kwargs["version"] for c in calls if c.args[0] == "passed over"]
         self.assertEqual(told, [16, 17])
 
--- a/caperstack/quarantine/exchange.py
+++ b/caperstack/quarantine/exchange.py
@@ -82,7 +82,7 @@
     def _tell(self):
         news, self._news = self._news, {}
         hosts = self._sync.told_of_news()
-        self._events.belief(
+        self._events.log_state(
             "suspects",
             asks=[f"{request:016x}" for request in list(news)[:LOGGED_MOST]],
             requests=len(news),
--- a/caperstack/quarantine/suspects.py
+++ b/caperstack/quarantine/suspects.py
@@ -257,7 +257,7 @@
             record.quarantined_until = deadline_after(min(QUARANTINE_SECONDS_MOST, seconds))
         told, record.told = record.told, _verdict_at(count)
         if record.told != told:
-            self._events.belief(
+            self._events.log_state(
                 "suspect",
                 asks=f"{request:016x}",
                 old=Verdict(told).name.lower(),
