--- a/caperstack/admission/limit.py
+++ b/caperstack/admission/limit.py
@@ -2,7 +2,7 @@
 
 import math
 
-from caperstack.averages import TimedAverage
+from caperstack.averages import TimeWeightedAverage
 from caperstack.calls.model import guessed_seconds
 from caperstack.clock import deadline_after, now
 
@@ -80,7 +80,7 @@
 
     def __init__(self):
         self._recent = None
-        self._medium = TimedAverage(INITIAL_SECONDS, MEDIUM_SECONDS)
+        self._medium = TimeWeightedAverage(INITIAL_SECONDS, MEDIUM_SECONDS)
         self._baseline = INITIAL_SECONDS
         self._seeded = False
         self._slot_seconds = {}
@@ -226,7 +226,7 @@
             if len(self._routes) >= MAX_ROUTES:
                 self._routes.clear()
                 self._slot_seconds.clear()
-            average = self._routes[route] = TimedAverage(elapsed, ROUTE_SECONDS)
+            average = self._routes[route] = TimeWeightedAverage(elapsed, ROUTE_SECONDS)
         average.add(elapsed)
         self._slot_seconds[route] = self._slot_seconds.get(route, 0.0) + elapsed
         if sum(self._slot_seconds.values()) > MAX_SLOT_SECONDS:
--- a/caperstack/admission/tracker.py
+++ b/caperstack/admission/tracker.py
@@ -207,7 +207,7 @@
         self._suspects.record_crash(
             end.number, [work.fingerprint for work in end.pending_calls.values()]
         )
-        self._events.belief(
+        self._events.log_state(
             "backend server ended",
             instance=end.instance,
             end=f"{end.number:016x}",
--- a/caperstack/pauses.py
+++ b/caperstack/pauses.py
@@ -1,68 +1,75 @@
-"""Notice when this process was stopped and woke up late."""
+"""Detect that this process or its host was suspended for a while."""
 
 import asyncio
 
 from caperstack.clock import deadline_after, now, suspended_seconds
 
-__all__ = ["PauseWatch"]
+__all__ = ["PauseDetector"]
 
-#: How often the running loop looks at itself, and how late makes a pause.
-TICK_SECONDS = 0.25
-PAUSE_SECONDS = 0.5
+#: Interval of the periodic check, in seconds.
+CHECK_INTERVAL_SECONDS = 0.25
 
-#: How long requests are refused after a pause, in seconds: what arrived in it
-#: lies in the socket buffers and is read within a few turns of the loop.
-AFTER_PAUSE_SECONDS = 0.25
+#: Time since the last check, or delay of a check, beyond which the process counts
+#: as paused, in seconds.
+PAUSE_THRESHOLD_SECONDS = 0.5
 
+#: How long requests are refused after a pause, in seconds.  Requests that arrived
+#: during the pause are in the socket buffers, and are read within a few iterations
+#: of the event loop.
+REFUSE_AFTER_PAUSE_SECONDS = 0.25
 
-class PauseWatch:
-    """Tell whether what this process holds may be older than it looks.
+
+class PauseDetector:
+    """Detect pauses of this process, after which buffered requests may be stale.
 
     Notes
     -----
-    Failure: the process is stopped with requests in its buffers and wakes
-    seconds later, believing them fresh; their callers have long been told
-    something else, and a booking would run that nobody waits for.  The tick
-    that did not happen shows the pause before any request is looked at.  While
-    a host is suspended the monotonic clock stands still, and no tick is late;
-    the time that the host was suspended shows it.
+    If the process is stopped with requests in its socket buffers and resumes
+    seconds later, these requests look fresh.  Their callers have already got
+    another outcome, and a booking would run that nobody waits for.  The overdue
+    periodic check reveals the pause before any of these requests is handled.
+    While the host itself is suspended the monotonic clock stands still and no
+    check is overdue, so the suspended time of the host is compared as well.
     """
 
     def __init__(self):
-        self._ticked_at = now()
-        self._suspended = suspended_seconds()
-        self._suspect_until = 0.0
-        self._ticker = None
+        self._checked_at = now()
+        self._suspended_seconds = suspended_seconds()
+        self._refuse_until = 0.0
+        self._task = None
 
     async def start(self, kernel):
-        """Begin to tick."""
+        """Start the periodic check."""
         self._events = kernel.find("events")
         self._metrics = kernel.find("metrics")
-        self._ticked_at = now()
-        self._ticker = asyncio.create_task(self._tick())
+        self._checked_at = now()
+        self._task = asyncio.create_task(self._check_periodically())
 
     async def stop(self):
-        """Stop ticking."""
-        self._ticker.cancel()
+        """Stop the periodic check."""
+        self._task.cancel()
 
-    def suspect(self):
-        """Return whether the process has just woken from a pause."""
+    def recently_paused(self):
+        """Return whether the process has just resumed after a pause."""
         moment = now()
         suspended = suspended_seconds()
-        away = moment - self._ticked_at + suspended - self._suspended
-        if away > PAUSE_SECONDS:
-            self._suspect_until = moment + AFTER_PAUSE_SECONDS
+        away = moment - self._checked_at + suspended - self._suspended_seconds
+        if away > PAUSE_THRESHOLD_SECONDS:
+            self._refuse_until = moment + REFUSE_AFTER_PAUSE_SECONDS
             self._metrics.count("pauses")
             self._events.state("process", "paused", f"woke {away:.1f} s later")
-            self._ticked_at = moment
-            self._suspended = suspended
-        return moment < self._suspect_until
+            self._checked_at = moment
+            self._suspended_seconds = suspended
+        return moment < self._refuse_until
 
-    async def _tick(self):
+    async def _check_periodically(self):
         while True:
-            due = deadline_after(TICK_SECONDS)
-            await asyncio.sleep(TICK_SECONDS)
-            if now() - due + suspended_seconds() - self._suspended > PAUSE_SECONDS:
-                self.suspect()
-            self._ticked_at = now()
-            self._suspended = suspended_seconds()
+            due = deadline_after(CHECK_INTERVAL_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
+            if (
+                now() - due + suspended_seconds() - self._suspended_seconds
+                > PAUSE_THRESHOLD_SECONDS
+            ):
+                self.recently_paused()
+            self._checked_at = now()
+            self._suspended_seconds = suspended_seconds()
--- a/caperstack/platform/fleet.py
+++ b/caperstack/platform/fleet.py
@@ -149,7 +149,7 @@
             return True
         if path not in self._unconfigured:
             self._unconfigured.add(path)
-            self._events.belief(
+            self._events.log_state(
                 "foreign entry", key=entry.instance, reason="service: not configured"
             )
         return False
--- a/caperstack/platform/reader.py
+++ b/caperstack/platform/reader.py
@@ -250,7 +250,7 @@
             return
         held = self._settings.get(item.key)
         if held is not None and version < held.revision:
-            self._events.belief(
+            self._events.log_state(
                 "passed over", key=item.key, version=version, held_version=held.revision
             )
         self._settings.take(item.key, version, document, "store")
@@ -304,7 +304,7 @@
             if key not in self._logged_foreign and len(self._logged_foreign) < MAX_LOGGED_FOREIGN:
                 self._logged_foreign.add(key)
                 self._metrics.count("foreign_entries")
-                self._events.belief("foreign entry", key=key, reason=reason[:MAX_REASON_CHARS])
+                self._events.log_state("foreign entry", key=key, reason=reason[:MAX_REASON_CHARS])
         self._logged_foreign &= foreign.keys()
 
     def _apply_server(self, item, entry):
--- a/caperstack/quarantine/exchange.py
+++ b/caperstack/quarantine/exchange.py
@@ -83,7 +83,7 @@
     def _send_pending(self):
         changes, self._pending = self._pending, {}
         hosts = self._sync.notification_targets()
-        self._events.belief(
+        self._events.log_state(
             "suspects",
             asks=[f"{request:016x}" for request in list(changes)[:MAX_LOGGED_REQUESTS]],
             requests=len(changes),
--- a/caperstack/quarantine/suspects.py
+++ b/caperstack/quarantine/suspects.py
@@ -258,7 +258,7 @@
             record.quarantined_until = deadline_after(min(MAX_QUARANTINE_SECONDS, seconds))
         previous, record.logged_verdict = record.logged_verdict, _verdict_at(count)
         if record.logged_verdict != previous:
-            self._events.belief(
+            self._events.log_state(
                 "suspect",
                 asks=f"{request:016x}",
                 old=Verdict(previous).name.lower(),
--- a/caperstack/routing/service.py
+++ b/caperstack/routing/service.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from caperstack.averages import TimedAverage
+from caperstack.averages import TimeWeightedAverage
 from caperstack.calls.model import guessed_seconds
 from caperstack.clock import now
 from caperstack.routing.budgets import CallBudget
@@ -83,7 +83,7 @@
         self.retries = retries
         self.hedges = hedges or CallBudget()
         self.allowance_version = -1
-        self._baseline = TimedAverage(INITIAL_BASELINE_SECONDS, AVERAGING_SECONDS)
+        self._baseline = TimeWeightedAverage(INITIAL_BASELINE_SECONDS, AVERAGING_SECONDS)
         self._routes = {}
 
     @property
@@ -95,7 +95,7 @@
         """Use the estimated work of `call` as the baseline until the first answer."""
         guess = guessed_seconds(call)
         if guess:
-            self._baseline.assume(guess)
+            self._baseline.set_initial(guess)
 
     def route_seconds(self, route):
         """Return the average duration of calls of `route` in seconds; 0 if not yet known."""
@@ -109,7 +109,7 @@
         if average is None:
             if len(self._routes) >= MAX_ROUTES:
                 self._routes.clear()
-            average = self._routes[route] = TimedAverage(seconds, AVERAGING_SECONDS)
+            average = self._routes[route] = TimeWeightedAverage(seconds, AVERAGING_SECONDS)
         average.add(min(seconds, LATE_HEDGE_DELAY_FACTOR * average.value))
 
     def hedge_delay(self, call):
--- /dev/null
+++ b/caperstack/soak/checks.py
@@ -0,0 +1,157 @@
+"""Check the guarantees of the nodes against what callers and backend servers saw."""
+
+from collections import Counter, defaultdict
+from itertools import pairwise
+
+from caperstack.soak.client import CONNECTION_CLOSED, CONNECTION_REFUSED, RequestRecord
+from caperstack.soak.faults import FAULTS
+from caperstack.soak.verdict import Verdict
+
+__all__ = ["CONNECTION_CLOSED", "CONNECTION_REFUSED", "RequestRecord", "check_guarantees"]
+
+#: A draining state and a configuration must be in force on all nodes this long after
+#: they were written to the store, in seconds.
+PROPAGATION_SECONDS = 2.0
+
+#: Allowance for scheduling delays on a busy machine, in seconds.
+SCHEDULING_SLACK_SECONDS = 0.5
+
+#: A request that crashes servers must be blocked this long after its third crash, in
+#: seconds, by nodes that no fault has affected for as long.  `MAX_SENDS` further sends
+#: by such nodes are allowed.
+BLOCKED_AFTER_SECONDS = 3.0
+MAX_SENDS = 3
+
+REFUSAL_STATUSES = frozenset((408, 421, 429, 503))
+
+
+def check_guarantees(state, requests, max_attempts):
+    """Check all guarantees and return the `caperstack.soak.verdict.Verdict` on a soak.
+
+    Parameters
+    ----------
+    state : caperstack.soak.state.SoakState
+        The fleet, with the ledgers of its backend servers, and the record of faults.
+    requests : list of RequestRecord
+        All requests of callers.
+    max_attempts : int
+        Maximum number of backend servers that one request may be sent to.
+    """
+    runs = defaultdict(list)
+    for host in state.fleet.hosts:
+        for run in host.instance.ledger:
+            runs[run.name].append(run)
+    broken = defaultdict(list)
+    for request in requests:
+        for guarantee in _broken_guarantees(state, request, runs[request.name], max_attempts):
+            at = request.begun - state.began
+            broken[guarantee].append(
+                f"{request.name} {request.path} {request.code} of {request.host} at {at:.2f} s"
+            )
+    known = {request.name for request in requests}
+    broken["nobody asked"] = [name for name in runs if name not in known]
+    broken["after leaving"] = list(_runs_after_departure(state))
+    broken["evacuated zone"] = list(_runs_in_evacuated_zone(state))
+    broken["cold server spared"] = [
+        f"{host.ip} {host.instance.overwhelmed} times"
+        for host in state.fleet.hosts
+        if host.instance.overwhelmed
+    ]
+    broken["fatal request kept away"] = list(_fatal_requests_not_blocked(state, runs))
+    broken["node"] = list(state.problems)
+    outcomes = Counter(request.code for request in requests)
+    found = {guarantee: cases for guarantee, cases in broken.items() if cases}
+    return Verdict(len(requests), outcomes, Counter(state.faults), frozenset(FAULTS), found)
+
+
+def _broken_guarantees(state, request, runs, max_attempts):
+    """Yield the guarantees that were broken for a request."""
+    if request.code == 200 and not request.complete:
+        yield "whole and own"
+    if request.code == 200 and not runs:
+        yield "answered without a run"
+    if request.at_most_once and len(runs) > 1:
+        yield "at most once"
+    if request.at_most_once and request.code in REFUSAL_STATUSES and runs:
+        yield "not run is true"
+    if request.code == 404:
+        yield "route is there"
+    if len(runs) > max_attempts:
+        yield "attempts"
+    fault_active = state.fault_active(
+        request.begun - SCHEDULING_SLACK_SECONDS, request.ended, request.host
+    )
+    if request.code == CONNECTION_CLOSED and not fault_active:
+        yield "cut by planned work"
+    if not _ran_configured_service(state, request, runs):
+        yield "configuration in force"
+
+
+def _ran_configured_service(state, request, runs):
+    """Return whether each run of a request was at the service configured for its path."""
+    history = [change for change in state.configurations if change.subject == request.path]
+    if not history:
+        return all(run.service == run.target.strip("/").split("/")[0] for run in runs)
+    for run in runs:
+        since = request.begun - PROPAGATION_SECONDS - SCHEDULING_SLACK_SECONDS
+        before = [change.value for change in history if change.at <= since]
+        allowed = set(before[-1:]) | {
+            change.value for change in history if since < change.at <= run.at
+        }
+        # The node that the caller reached picks the service.
+        unaffected = not state.fault_active(since, run.at, request.host)
+        if run.service not in allowed and unaffected:
+            return False
+    return True
+
+
+def _runs_after_departure(state):
+    """Yield the runs at instances that had left, once the nodes beside them had to know it."""
+    left = {change.subject: change.at for change in state.departures}
+    known_after = PROPAGATION_SECONDS + SCHEDULING_SLACK_SECONDS
+    for host in state.fleet.hosts:
+        for run in host.instance.ledger:
+            at = left.get(run.instance)
+            if at is None or run.at < at + known_after:
+                continue
+            if not state.fault_active(at, run.at, host.ip):
+                yield f"{run.name} at {run.instance}, {run.at - at:.2f} s after it left"
+
+
+def _runs_in_evacuated_zone(state):
+    """Yield the runs in a zone that was evacuated, once all nodes had to know it."""
+    for evacuation in state.evacuations:
+        known = evacuation.begin + PROPAGATION_SECONDS + SCHEDULING_SLACK_SECONDS
+        for host in state.fleet.hosts:
+            if host.zone != evacuation.zone:
+                continue
+            for run in host.instance.ledger:
+                unaffected = not state.fault_active(evacuation.begin, run.at, host.ip)
+                if known <= run.at < evacuation.end and unaffected:
+                    yield f"{run.name} at {host.ip}, {run.at - evacuation.begin:.2f} s after"
+
+
+def _fatal_requests_not_blocked(state, runs):
+    """Yield the targets that were still sent to servers after they had crashed three."""
+    period_limits = [0.0, *sorted(state.kill_all_times), float("inf")]
+    for target in state.fatal:
+        ends = sorted(end.at for end in state.fleet.ends if end.target == target)
+        sends = [run for own in runs.values() for run in own if run.target == target]
+        for begin, end in pairwise(period_limits):
+            # Killing all nodes loses what they knew, so crashes count from there anew.
+            own_crash_times = [at for at in ends if begin < at <= end]
+            unblocked = [
+                run
+                for run in sends
+                if begin < run.at <= end and _must_be_blocked(state, run, own_crash_times)
+            ]
+            if len(unblocked) > MAX_SENDS:
+                yield f"{target} {len(unblocked)} times, {len(own_crash_times)} crashed"
+
+
+def _must_be_blocked(state, run, ends):
+    """Return whether the node beside the server should have blocked a fatal request."""
+    settled = BLOCKED_AFTER_SECONDS + SCHEDULING_SLACK_SECONDS
+    host = next(h.ip for h in state.fleet.hosts if run in h.instance.ledger)
+    unaffected = not state.fault_active(run.at - settled, run.at, host, store=False)
+    return unaffected and len(ends) >= 3 and run.at > ends[2] + settled
--- a/caperstack/soak/verdict.py
+++ b/caperstack/soak/verdict.py
@@ -1,4 +1,4 @@
-"""What a soak found."""
+"""The result of a soak test."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -8,34 +8,34 @@
 
 @dataclass
 class Verdict:
-    """What broke, by promise, and what was exercised.
+    """The broken guarantees and the faults that were exercised.
 
     Attributes
     ----------
-    asked : int
-        Requests of callers.
+    request_count : int
+        Number of requests of callers.
     outcomes : Counter
-        How their tries ended, by status or by the product's name of the outcome.
+        Number of requests by status, or by name of the outcome.
     faults : Counter
-        The faults that happened, by kind.
+        Number of faults injected, by kind.
     kinds : frozenset
-        The kinds of fault that there are.
+        All kinds of fault.
     broken : dict
-        For each promise the requests that show it broken.
+        For each guarantee the requests, or other cases, that broke it.
     """
 
-    asked: int = 0
+    request_count: int = 0
     outcomes: Counter = field(default_factory=Counter)
     faults: Counter = field(default_factory=Counter)
     kinds: frozenset = frozenset()
     broken: dict = field(default_factory=dict)
 
     @property
-    def clean(self):
-        """Whether every promise held."""
+    def passed(self):
+        """Whether every guarantee held."""
         return not any(self.broken.values())
 
     @property
     def unexercised(self):
-        """The kinds of fault that never happened."""
+        """The kinds of fault that were never injected."""
         return sorted(self.kinds - set(self.faults))
