--- a/caperstack/platform/standin/demo.py
+++ b/caperstack/platform/standin/demo.py
@@ -49,7 +49,7 @@
     """Take and leave hosts for ever, as noisy neighbours do."""
     while True:
         for host in fleet.hosts:
-            host.instance.conduct.pace = VISIT_PACE if rng.random() < VISIT_SHARE else 1.0
+            host.instance.behaviour.pace = VISIT_PACE if rng.random() < VISIT_SHARE else 1.0
         await asyncio.sleep(VISIT_SECONDS)
 
 
@@ -131,7 +131,7 @@
     rng = random.Random(options.seed)
     async with PlatformFleet(list(SERVICES), list(ROUTES)) as fleet:
         for host in fleet.hosts:
-            host.instance.conduct.seconds = WORK_SECONDS[host.instance.service]
+            host.instance.behaviour.seconds = WORK_SECONDS[host.instance.service]
         visits = asyncio.create_task(_neighbours(fleet, rng))
         try:
             if options.serve:
--- a/caperstack/platform/standin/instance.py
+++ b/caperstack/platform/standin/instance.py
@@ -15,7 +15,7 @@
 
 
 @dataclass
-class Conduct:
+class Behaviour:
     """How the server behaves; a test changes it at any time.
 
     Attributes
@@ -106,7 +106,7 @@
     name: str
     slots: int = 8
     born_ms: int = 1_790_000_000_000
-    conduct: Conduct = field(default_factory=Conduct)
+    behaviour: Behaviour = field(default_factory=Behaviour)
     runs: Counter = field(default_factory=Counter)
     ledger: list = field(default_factory=list)
     seen: list = field(default_factory=list)
@@ -157,14 +157,14 @@
 
     async def _handle(self, request):
         if request.path == "/health":
-            left = max(0, round(time_left(self.conduct.cold_until) * 1000))
-            text = self.conduct.cold_text or (str(left) if left else "")
+            left = max(0, round(time_left(self.behaviour.cold_until) * 1000))
+            text = self.behaviour.cold_text or (str(left) if left else "")
             told = {DIALECT.cold: text} if text else {}
-            self._write(request, 200 if self.conduct.healthy else 503, b"", told)
+            self._write(request, 200 if self.behaviour.healthy else 503, b"", told)
         elif request.headers.get(DIALECT.target_instance, self.name) != self.name:
             self.misdirected += 1
             self._write(request, 421, b"", {})
-        elif self.conduct.refuse:
+        elif self.behaviour.refuse:
             self._write(request, 503, b"", {DIALECT.not_executed: "1"})
         else:
             await self._run(request)
@@ -182,10 +182,10 @@
             seen | {"method": request.method, "target": request.uri, "body": request.body}
         )
         self.running += 1
-        fatal = request.uri in self.conduct.fatal
-        seconds = self.conduct.fatal_seconds if fatal else self.conduct.seconds
+        fatal = request.uri in self.behaviour.fatal
+        seconds = self.behaviour.fatal_seconds if fatal else self.behaviour.seconds
         try:
-            await asyncio.sleep(seconds * self.conduct.pace)
+            await asyncio.sleep(seconds * self.behaviour.pace)
         except asyncio.CancelledError:
             self.broken_off += 1
             raise
@@ -198,9 +198,9 @@
 
     def _overwhelmed(self):
         """Return whether the server got more in a second than it bears, cold all the while."""
-        if now() >= self.conduct.cold_until or not self.conduct.cold_bears:
+        if now() >= self.behaviour.cold_until or not self.behaviour.cold_bears:
             return False
-        return self.runs_since(max(self.conduct.cold_since, now() - 1.0)) > self.conduct.cold_bears
+        return self.runs_since(max(self.behaviour.cold_since, now() - 1.0)) > self.behaviour.cold_bears
 
     def runs_since(self, since):
         """Return how many requests this instance ran since that point."""
@@ -208,18 +208,18 @@
         return sum(1 for run in recent if run.instance == self.name)
 
     def _answer(self, request):
-        conduct = self.conduct
-        if conduct.lose_answers:
+        behaviour = self.behaviour
+        if behaviour.lose_answers:
             request.connection.stream.close()
-        elif conduct.unframed:
+        elif behaviour.unframed:
             self._write_unframed(request)
         else:
-            self._write(request, conduct.status, conduct.body, {SEAL: str(len(conduct.body))})
+            self._write(request, behaviour.status, behaviour.body, {SEAL: str(len(behaviour.body))})
 
     def _headers(self, request, more):
         headers = HTTPHeaders(more)
         headers[DIALECT.instance] = self.name
-        percent = round(self.conduct.pace * 100)
+        percent = round(self.behaviour.pace * 100)
         headers[DIALECT.load] = f"{self.running},0,{self.slots},{percent}"
         name = request.headers.get(DIALECT.request_id)
         if name:
@@ -232,15 +232,15 @@
         stream = request.connection.stream
         request.connection.write_headers(ResponseStartLine("", status, "Said"), headers, body)
         request.connection.finish()
-        if self.conduct.extra_answers and SEAL in headers:
+        if self.behaviour.extra_answers and SEAL in headers:
             head = f"HTTP/1.1 200 OK\r\n{DIALECT.request_id}: {headers[DIALECT.request_id]}\r\n"
             stream.write(f"{head}{SEAL}: 5\r\nContent-Length: 5\r\n\r\nextra".encode())
 
     def _write_unframed(self, request):
-        headers = self._headers(request, {SEAL: str(len(self.conduct.body))})
+        headers = self._headers(request, {SEAL: str(len(self.behaviour.body))})
         head = "".join(f"{name}: {value}\r\n" for name, value in headers.get_all())
-        body = self.conduct.body
-        whole = self.conduct.unframed == "whole"
+        body = self.behaviour.body
+        whole = self.behaviour.unframed == "whole"
         stream = request.connection.stream
         stream.write(f"HTTP/1.1 200 OK\r\n{head}\r\n".encode() + body[: None if whole else 5])
         if not whole:
--- a/caperstack/platform/tests/test_overload.py
+++ b/caperstack/platform/tests/test_overload.py
@@ -13,13 +13,13 @@
 
     async def test_server_that_lost_an_answer_gets_calls_again(self):
         """One lost answer, with no repeat to spend, and a sound server stays idle for good."""
-        self.first.instance.conduct.lose_answers = True
+        self.first.instance.behaviour.lose_answers = True
 
         async def lost():
             return (await self.fleet.ask(self.third, "/list/"))[1].code == 502
 
         await self.until(lost, "an answer is lost")
-        self.first.instance.conduct.lose_answers = False
+        self.first.instance.behaviour.lose_answers = False
         before = sum(self.first.instance.runs.values())
 
         async def works():
@@ -51,7 +51,7 @@
         Bookings of 8 kB, five times as many as there are slots for.
         """
         for host in (self.first, self.second):
-            host.instance.conduct.seconds = 0.3
+            host.instance.behaviour.seconds = 0.3
         tasks = []
         for _ in range(400):
             tasks.append(
--- a/caperstack/platform/tests/test_path.py
+++ b/caperstack/platform/tests/test_path.py
@@ -48,7 +48,7 @@
             self.assertEqual(reply.code, 404)
 
     async def test_route_timeout_is_answered_when_it_is_over(self):
-        self.first.instance.conduct.seconds = self.second.instance.conduct.seconds = 5.0
+        self.first.instance.behaviour.seconds = self.second.instance.behaviour.seconds = 5.0
         began = now()
         _, reply = await self.fleet.ask(self.third, "/short/", milliseconds=3000)
         self.assertEqual(reply.code, 504, reply.body)
@@ -57,7 +57,7 @@
     async def test_caller_that_leaves_ends_the_work(self):
         # A golfer hangs up while a listing runs on another host; the backend
         # server must not work on for nobody.
-        self.first.instance.conduct.seconds = self.second.instance.conduct.seconds = 30.0
+        self.first.instance.behaviour.seconds = self.second.instance.behaviour.seconds = 30.0
         reader, writer = await asyncio.open_connection(*split_address(self.third.outbound))
         writer.write(b"GET /list/ HTTP/1.1\r\nHost: x.example\r\nX-Request-Id: gone\r\n\r\n")
 
@@ -89,7 +89,7 @@
         # Both backend servers leave without a word: their entries vanish while
         # listings run there.  The entry must not close its links under them.
         for host in (self.first, self.second):
-            host.instance.conduct.seconds = 2.0
+            host.instance.behaviour.seconds = 2.0
         asked = [asyncio.create_task(self.fleet.ask(self.third, "/list/")) for _ in range(4)]
 
         async def running():
@@ -140,7 +140,7 @@
         # the new start gets work though the old one was leaving.
         self.fleet.register(self.second, "draining")
         await self.until(self.listed(self.second, leaving=True), "both go to the first")
-        self.first.instance.conduct.seconds = 20.0
+        self.first.instance.behaviour.seconds = 20.0
         asked = [
             asyncio.create_task(self.fleet.ask(self.third, path, method, 10_000, name=name))
             for path, method, name in (("/list/", "GET", "listing"), ("/book/x", "POST", "booking"))
@@ -156,7 +156,7 @@
         self.fleet.register(self.second)
         await self.until(self.listed(self.first, leaving=True), "the mark is known")
         await self.until(self.listed(self.second, leaving=False), "the other is back")
-        self.first.instance.conduct.seconds = 0.0
+        self.first.instance.behaviour.seconds = 0.0
         await self.first.instance.restart()
         self.fleet.register(self.first)
         (_, listing), (_, booking) = await asyncio.gather(*asked)
@@ -254,7 +254,7 @@
 
     async def test_lost_answer_of_a_booking_runs_once_and_promises_nothing(self):
         for host in (self.first, self.second):
-            host.instance.conduct.lose_answers = True
+            host.instance.behaviour.lose_answers = True
         name, reply = await self.fleet.ask(self.third, "/book/x", "POST")
         self.assertEqual((reply.code, self.fleet.runs(name)), (502, 1))
 
@@ -265,10 +265,10 @@
         # booking: the first answer must not say that nothing ran, and the log
         # must show operators which of the two ended without word.
         for host in (self.first, self.second):
-            host.instance.conduct.lose_answers = True
+            host.instance.behaviour.lose_answers = True
         first, lost = await self.fleet.ask(self.third, "/book/x", "POST")
         for host in (self.first, self.second):
-            host.instance.conduct.lose_answers = False
+            host.instance.behaviour.lose_answers = False
         second, booked = await self.fleet.ask(self.third, "/book/x", "POST")
         self.assertEqual((lost.code, lost.headers[OUTCOME]), (502, "unknown"))
         self.assertNotIn("Retry-After", lost.headers)
@@ -281,7 +281,7 @@
         self.assertEqual((told[first], told[second]), ("unknown", "answered"))
 
     async def test_lost_answer_of_a_listing_is_got_elsewhere(self):
-        self.first.instance.conduct.lose_answers = True
+        self.first.instance.behaviour.lose_answers = True
         # The entry may leave a host alone for the seconds after its start.
         replies = []
 
@@ -294,7 +294,7 @@
 
     async def test_refusal_by_the_server_is_told_as_not_run(self):
         for host in (self.first, self.second):
-            host.instance.conduct.refuse = True
+            host.instance.behaviour.refuse = True
         name, reply = await self.fleet.ask(self.third, "/book/x", "POST")
         self.assertEqual((reply.code, self.fleet.runs(name)), (503, 0))
         self.assertGreater(float(reply.headers["Retry-After"]), 0.0)
@@ -303,7 +303,7 @@
         # A backend server answers each request twice.  The second answer lies
         # on the kept-alive connection when the next request goes out.
         for host in (self.first, self.second):
-            host.instance.conduct.extra_answers = True
+            host.instance.behaviour.extra_answers = True
         for _ in range(20):
             name, reply = await self.fleet.ask(self.third, "/list/")
             self.assertEqual((reply.code, reply.body), (200, b"whole answer"))
@@ -311,11 +311,11 @@
 
     async def test_answer_without_a_length_is_whole_unless_reset(self):
         for host in (self.first, self.second):
-            host.instance.conduct.unframed = "whole"
+            host.instance.behaviour.unframed = "whole"
         _, reply = await self.fleet.ask(self.third, "/book/x", "POST")
         self.assertEqual((reply.code, reply.body), (200, b"whole answer"))
         for host in (self.first, self.second):
-            host.instance.conduct.unframed = "reset"
+            host.instance.behaviour.unframed = "reset"
         _, reply = await self.fleet.ask(self.third, "/book/x", "POST")
         self.assertEqual(reply.code, 502)
 
@@ -444,7 +444,7 @@
         # SIGTERM reaches a node while requests run beside it and through it,
         # and callers go on sending until they notice that it is not ready.
         for host in self.fleet.hosts:
-            host.instance.conduct.seconds = 0.3
+            host.instance.behaviour.seconds = 0.3
         asked = [asyncio.create_task(self.fleet.ask(self.first, "/list/")) for _ in range(4)]
         asked += [asyncio.create_task(self.fleet.ask(self.third, "/list/")) for _ in range(4)]
         await asyncio.sleep(0.1)
--- a/caperstack/platform/tests/test_quarantine.py
+++ b/caperstack/platform/tests/test_quarantine.py
@@ -43,8 +43,8 @@
         self.fleet = await self.enterAsyncContext(PlatformFleet(services, list(ROUTES)))
         self.rng = random.Random(7)
         for host in self.fleet.hosts:
-            host.instance.conduct.seconds = 0.1
-            host.instance.conduct.fatal = frozenset((FATAL,))
+            host.instance.behaviour.seconds = 0.1
+            host.instance.behaviour.fatal = frozenset((FATAL,))
 
     async def ask(self, path, **options):
         _, reply = await self.fleet.ask(self.rng.choice(self.fleet.hosts), path, **options)
--- a/caperstack/platform/tests/test_zones.py
+++ b/caperstack/platform/tests/test_zones.py
@@ -46,7 +46,7 @@
 
     async def test_running_call_ends_and_the_only_zone_refuses_at_once(self):
         """The only servers of a service are evacuated: callers wait, or running work is cut."""
-        self.third.instance.conduct.seconds = 1.5
+        self.third.instance.behaviour.seconds = 1.5
         asked = asyncio.create_task(self.fleet.ask(self.first, "/rates/"))
 
         async def running():
@@ -99,11 +99,11 @@
         await asyncio.sleep(1.5)
 
     def chill(self, host, seconds):
-        conduct = host.instance.conduct
-        conduct.seconds = 0.03
-        conduct.cold_since = now()
-        conduct.cold_until = now() + seconds
-        conduct.cold_bears = self.bound
+        behaviour = host.instance.behaviour
+        behaviour.seconds = 0.03
+        behaviour.cold_since = now()
+        behaviour.cold_until = now() + seconds
+        behaviour.cold_bears = self.bound
 
     async def ask_many(self, path, per_second, seconds):
         """Ask in a stream at all nodes in turn; return the replies."""
@@ -117,7 +117,7 @@
 
     async def test_server_that_turns_cold_is_spared_and_the_warm_one_takes_the_rest(self):
         """A server turns cold amid calls, gets its share as before, and ends."""
-        self.second.instance.conduct.seconds = 0.03
+        self.second.instance.behaviour.seconds = 0.03
         await self.ask_many("/list/", 60, 1.0)
         self.chill(self.first, 3.0)
         replies = await self.ask_many("/list/", 60, 2.5)
@@ -146,7 +146,7 @@
 
     async def test_cold_header_that_is_no_number_is_told_once_and_changes_nothing(self):
         for host in self.fleet.hosts:
-            host.instance.conduct.cold_text = "soon"
+            host.instance.behaviour.cold_text = "soon"
 
         async def told():
             return all(host.node.lines("foreign header") for host in self.fleet.hosts)
--- a/caperstack/soak/faults.py
+++ b/caperstack/soak/faults.py
@@ -155,7 +155,7 @@
     """A request ends each server that runs it, and comes again at any node."""
     target = f"/listings/fatal-{next(_fatal)}"
     for host in ground.fleet.hosts:
-        host.instance.conduct.fatal |= {target}
+        host.instance.behaviour.fatal |= {target}
     ground.fatal.append(target)
     tasks = []
     until = now() + FATAL_SECONDS
@@ -192,21 +192,21 @@
 
 
 def _chill(host):
-    conduct = host.instance.conduct
-    conduct.cold_since = now()
-    conduct.cold_until = now() + COLD_SECONDS
-    conduct.cold_bears = COLD_BEARS
+    behaviour = host.instance.behaviour
+    behaviour.cold_since = now()
+    behaviour.cold_until = now() + COLD_SECONDS
+    behaviour.cold_bears = COLD_BEARS
 
 
 def _conduct(seconds, **troubles):
     async def fault(ground):
-        conduct = ground.some_host().instance.conduct
-        calm = {name: getattr(type(conduct)(), name) for name in troubles}
+        behaviour = ground.some_host().instance.behaviour
+        calm = {name: getattr(type(behaviour)(), name) for name in troubles}
         for name, value in troubles.items():
-            setattr(conduct, name, value)
+            setattr(behaviour, name, value)
         await asyncio.sleep(seconds)
         for name, value in calm.items():
-            setattr(conduct, name, value)
+            setattr(behaviour, name, value)
 
     fault.__doc__ = f"A backend server is in trouble: {troubles}."
     return fault
--- a/caperstack/soak/platform.py
+++ b/caperstack/soak/platform.py
@@ -121,7 +121,7 @@
     fleet.cold_per_second = COLD_TOLERATED
     async with fleet:
         for host in fleet.hosts:
-            host.instance.conduct.seconds = WORK_SECONDS
+            host.instance.behaviour.seconds = WORK_SECONDS
         ground = Ground(fleet, rng, now())
         ground.configurations.append(Fact(0.0, "/moving/", "listings"))
         until = now() + seconds
