--- a/caperstack/platform/standin/fleet.py
+++ b/caperstack/platform/standin/fleet.py
@@ -26,7 +26,7 @@
 from caperstack.platform.standin.instance import StandinInstance
 from caperstack.platform.standin.store import StandinStore
 
-__all__ = ["Host", "PlatformFleet", "PlatformNode", "ServerEnd", "configuration", "route_row"]
+__all__ = ["Host", "PlatformFleet", "PlatformNode", "ServerCrash", "configuration", "route_row"]
 
 #: The first of the loopback addresses that stand for hosts; one for each.
 FIRST_IP = (127, 0, 0, 11)
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerEnd:
+class ServerCrash:
     """A backend server that ended: when, which, and of what target if of one."""
 
     at: float
@@ -140,7 +140,7 @@
 
     Attributes
     ----------
-    ends : list of ServerEnd
+    crashes : list of ServerEnd
         The backend servers that requests have ended.
     down_seconds : float
         How long it takes until such a server has started again.
@@ -158,8 +158,8 @@
         )
         self._ports["metrics"] = str(int(self._ports["peers"]) + 1)
         self._version = 0
-        self._reviving = {}
-        self.ends = []
+        self._restarts = {}
+        self.crashes = []
         self.down_seconds = 1.0
         self.unlisted_seconds = 0.0
         self.cold_per_second = 0
@@ -217,7 +217,7 @@
         return self
 
     async def __aexit__(self, *_):
-        for task in self._reviving.values():
+        for task in self._restarts.values():
             task.cancel()
         for host in self.hosts:
             host.node.signal(signal.SIGCONT)
@@ -230,9 +230,9 @@
     def configure(self):
         """Publish the present routes as the next version."""
         self._version += 1
-        self.configure_again()
+        self.rewrite_configuration()
 
-    def configure_again(self):
+    def rewrite_configuration(self):
         """Write the present version again, as operators do when the store has lost it."""
         document = configuration(
             self._version, self.routes, self.services, cold_per_second=self.cold_per_second
@@ -247,7 +247,7 @@
         """Ask that nothing more be sent to the backend servers of a zone."""
         self.store.put(f"{EVACUATIONS_PREFIX}{zone}", {})
 
-    def take_back(self, zone):
+    def end_evacuation(self, zone):
         """End the evacuation of a zone."""
         self.store.remove(f"{EVACUATIONS_PREFIX}{zone}")
 
@@ -261,13 +261,13 @@
         One that is down already ends no second time: two requests may end it in one
         turn of the loop.
         """
-        if host.ip in self._reviving:
+        if host.ip in self._restarts:
             return
-        self.ends.append(ServerEnd(now(), host.instance.name, target))
-        task = self._reviving[host.ip] = asyncio.create_task(self._revive(host))
-        task.add_done_callback(lambda _task: self._reviving.pop(host.ip))
+        self.crashes.append(ServerCrash(now(), host.instance.name, target))
+        task = self._restarts[host.ip] = asyncio.create_task(self._restart_server(host))
+        task.add_done_callback(lambda _task: self._restarts.pop(host.ip))
 
-    async def _revive(self, host):
+    async def _restart_server(self, host):
         await host.instance.crash()
         await asyncio.sleep(self.down_seconds)
         self.withdraw(host)
@@ -278,12 +278,12 @@
 
     async def restore_store(self, copy, away_seconds=1.0):
         """The store is away for a moment and comes back from `copy`."""
-        for troubles in self.store.troubles.values():
-            troubles.cut = True
+        for faults in self.store.faults.values():
+            faults.cut = True
         await asyncio.sleep(away_seconds)
-        self.store.come_back_from(copy)
-        for troubles in self.store.troubles.values():
-            troubles.cut = False
+        self.store.restore_from(copy)
+        for faults in self.store.faults.values():
+            faults.cut = False
 
     def write_boot(self, host):
         """Write the start settings of `host`, as the platform does when they change."""
@@ -298,7 +298,7 @@
         """Wait until the node says that it takes requests and knows all registered hosts."""
 
         async def condition():
-            return await self.ready(host) and await self.knows(host) >= len(self.hosts)
+            return await self.ready(host) and await self.member_count(host) >= len(self.hosts)
 
         await self.until(condition, f"{host.ip} ready")
 
@@ -310,7 +310,7 @@
             return False
         return reply.code == 200
 
-    async def knows(self, host):
+    async def member_count(self, host):
         """Return how many hosts the node knows."""
         reply = await request(self.metrics_address(host), "GET", "/members")
         return len(json.loads(reply.body)["members"])
@@ -332,7 +332,7 @@
         kept = tempfile.mkdtemp(prefix="caperstack-kept-")
         return shutil.copytree(self._directory.name, kept, dirs_exist_ok=True)
 
-    def new_name(self):
+    def new_request_id(self):
         """Return an id for a request."""
         return f"{next(_names):016x}"
 
@@ -340,7 +340,7 @@
         self, host, path, method="GET", milliseconds=3000, body=b"", name=None, **headers
     ):
         """Send a request through the node of `host`; return its id and tornado's response."""
-        name = name or self.new_name()
+        name = name or self.new_request_id()
         sent = {
             "Host": "x.example",
             DIALECT.request_id: name,
--- a/caperstack/platform/standin/instance.py
+++ b/caperstack/platform/standin/instance.py
@@ -11,7 +11,7 @@
 from caperstack.clock import now, time_left
 from caperstack.platform.names import DIALECT, SEAL
 
-__all__ = ["Conduct", "Run", "StandinInstance"]
+__all__ = ["Behaviour", "Run", "StandinInstance"]
 
 
 @dataclass
--- a/caperstack/platform/standin/modelstore.py
+++ b/caperstack/platform/standin/modelstore.py
@@ -59,7 +59,7 @@
         """Return a copy of what the store holds now."""
         return StoreCopy(dict(self._items), self.revision)
 
-    def come_back_from(self, copy):
+    def restore_from(self, copy):
         """Lose all that was written after `copy`; its revisions are given out again."""
         self.era += 1
         self._items = dict(copy.items)
--- a/caperstack/platform/standin/store.py
+++ b/caperstack/platform/standin/store.py
@@ -12,14 +12,14 @@
 from caperstack.clock import deadline_after, now
 from caperstack.platform.names import STORE_ERA
 
-__all__ = ["StandinStore", "StoreCopy", "StoreTroubles"]
+__all__ = ["StandinStore", "StoreCopy", "StoreFaults"]
 
 WATCH_PATH = "/v1/kv-watch"
 
 PAGE_ITEMS = 50
 
 
-class StoreTroubles:
+class StoreFaults:
     """What ails the store, for the readers at one of its addresses.
 
     Attributes
@@ -60,7 +60,7 @@
         Calls that were answered with items.
     watching : int
         Calls that wait for a change now.
-    troubles : dict of str to StoreTroubles
+    faults : dict of str to StoreTroubles
         By address.
     era : int
         How often the store came back from a copy.
@@ -77,7 +77,7 @@
         self.era = 0
         self.calls = 0
         self.served = 0
-        self.troubles = {address: StoreTroubles() for address in addresses}
+        self.faults = {address: StoreFaults() for address in addresses}
         self._changes = []
         self._changed = asyncio.Event()
         self.history_since = 0
@@ -85,7 +85,7 @@
 
     async def start(self):
         """Listen at all addresses."""
-        for address in self.troubles:
+        for address in self.faults:
             server = HTTPServer(self._handler(address))
             ip, port = address.rsplit(":", 1)
             server.listen(int(port), ip)
@@ -129,7 +129,7 @@
         """Return a copy of what the store holds now."""
         return StoreCopy(dict(self._items), self._revision)
 
-    def come_back_from(self, copy):
+    def restore_from(self, copy):
         """Lose all that was written after `copy`; its revisions are given out again."""
         self.era += 1
         self._lost = self._items
@@ -139,7 +139,7 @@
         self._changes = [c for c in self._changes if c["revision"] <= copy.revision]
         self._wake_watches()
 
-    def write_again(self):
+    def rewrite_lost(self):
         """Write what was lost again, unless another write has come to its key."""
         for key in sorted(self._lost.keys() | self._copy.keys()):
             lost, copied = self._lost.get(key), self._copy.get(key)
@@ -167,21 +167,21 @@
 
     def _handler(self, address):
         def handle(request):
-            task = asyncio.create_task(self._answer(request, self.troubles[address]))
+            task = asyncio.create_task(self._answer(request, self.faults[address]))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
         return handle
 
-    async def _answer(self, request, troubles):
+    async def _answer(self, request, faults):
         self.calls += 1
-        if troubles.silent:
+        if faults.silent:
             return
-        await asyncio.sleep(troubles.delay_seconds)
-        if troubles.cut:
+        await asyncio.sleep(faults.delay_seconds)
+        if faults.cut:
             request.connection.stream.close()
             return
-        status, document = troubles.status, {"error": "busy"}
+        status, document = faults.status, {"error": "busy"}
         if not status and request.path == WATCH_PATH:
             self.watching += 1
             try:
--- a/caperstack/platform/tests/test_path.py
+++ b/caperstack/platform/tests/test_path.py
@@ -96,7 +96,7 @@
             return sum(host.instance.running for host in self.fleet.hosts) == 4
 
         async def forgotten():
-            return await self.fleet.knows(self.third) == 1
+            return await self.fleet.member_count(self.third) == 1
 
         await self.until(running, "listings run")
         self.fleet.withdraw(self.first)
@@ -340,7 +340,7 @@
         # It must get routes and members from them, and say 503 until then.
         self.third.node.kill()
         self.third.boot["platformSettings"] = {"address": self.fleet.store_addresses[1]}
-        self.fleet.store.troubles[self.fleet.store_addresses[1]].status = 429
+        self.fleet.store.faults[self.fleet.store_addresses[1]].status = 429
         self.fleet.start_node(self.third)
         await self.third.node.listening(self.third.outbound)
         await self.until(self.serves(self.third, "/list/"), "served without the store")
@@ -389,13 +389,13 @@
         # The store is away, the entries lapse meanwhile, and on its return the
         # backend servers, alive all the time, have yet to register again. To
         # take them for gone would refuse every call for a second or two.
-        for troubles in self.fleet.store.troubles.values():
-            troubles.silent = True
+        for faults in self.fleet.store.faults.values():
+            faults.silent = True
         await asyncio.sleep(4.0)
         for host in self.fleet.hosts:
             self.fleet.withdraw(host)
-        for troubles in self.fleet.store.troubles.values():
-            troubles.silent = False
+        for faults in self.fleet.store.faults.values():
+            faults.silent = False
         self.fleet.store.served = 0
 
         async def read_again():
@@ -426,14 +426,14 @@
     async def test_node_without_settings_says_503_and_is_not_ready(self):
         for host in self.fleet.hosts:
             host.node.kill()
-        for troubles in self.fleet.store.troubles.values():
-            troubles.silent = True
+        for faults in self.fleet.store.faults.values():
+            faults.silent = True
         self.fleet.start_node(self.first)
         await self.first.node.listening(self.first.outbound)
         _, reply = await self.fleet.ask(self.first, "/list/")
         self.assertEqual((reply.code, await self.fleet.ready(self.first)), (503, False))
-        for troubles in self.fleet.store.troubles.values():
-            troubles.silent = False
+        for faults in self.fleet.store.faults.values():
+            faults.silent = False
 
         async def serves():
             return (await self.fleet.ask(self.first, "/list/"))[1].code == 200
--- a/caperstack/platform/tests/test_quarantine.py
+++ b/caperstack/platform/tests/test_quarantine.py
@@ -70,10 +70,10 @@
 
     async def test_is_kept_away_once_three_servers_have_ended(self):
         await self.press(9.0, {FATAL: 0.2, NEIGHBOUR: 0.1, POPULAR: 0.05})
-        ends = [end.at for end in self.fleet.ends]
-        self.assertGreaterEqual(len(ends), 3)
-        late = [at for at in self.sends(FATAL) if at > ends[2] + SETTLED_SECONDS]
-        self.assertLessEqual(len(late), SENDS_MOST, f"{len(ends)} ended")
+        crashes = [end.at for end in self.fleet.crashes]
+        self.assertGreaterEqual(len(crashes), 3)
+        late = [at for at in self.sends(FATAL) if at > crashes[2] + SETTLED_SECONDS]
+        self.assertLessEqual(len(late), SENDS_MOST, f"{len(crashes)} ended")
 
     async def test_others_of_its_path_and_servers_are_served_again(self):
         # The same path with another query, and a popular listing that was at work
--- a/caperstack/platform/tests/test_restore.py
+++ b/caperstack/platform/tests/test_restore.py
@@ -296,7 +296,7 @@
         for _ in range(3):
             self.store.put("a", 1)
         before = await self.client.read("a")
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         self.store.put("a", 2)
         after = await self.client.read("a")
         self.assertGreater(after.revision, before.revision)
@@ -308,7 +308,7 @@
         copy = self.store.copy()
         self.store.put("a", 1)
         revision = (await self.client.read("a")).revision
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         for value in (2, 3):
             self.store.put("a", value)
         with self.assertRaises(HistoryError):
@@ -331,7 +331,7 @@
 
         async def page_then_restore(*arguments):
             answer = await page(*arguments)
-            self.store.come_back_from(copy)
+            self.store.restore_from(copy)
             return answer
 
         self.client._page = page_then_restore
@@ -362,7 +362,7 @@
         await self.add_route("/one/")
         await self.add_route("/two/")
         await self.fleet.restore_store(copy)
-        self.fleet.configure_again()
+        self.fleet.rewrite_configuration()
         await asyncio.sleep(1.0)
         await self.add_route("/three/")
         await self.add_route("/four/")
@@ -401,7 +401,7 @@
     for version in (2, 3, 4):
         fleet.store.put(CONFIGURATION_KEY, configuration(version, [], SERVICES))
         await asyncio.sleep(1.0)
-    fleet.store.come_back_from(copy)
+    fleet.store.restore_from(copy)
     await asyncio.sleep(1.0)
     fleet.store.put(CONFIGURATION_KEY, configuration(4, [], SERVICES))
     seconds = []
@@ -426,7 +426,7 @@
         await asyncio.sleep(1.0)
         fleet.register(*place)
         await asyncio.sleep(1.0)
-    fleet.store.come_back_from(copy)
+    fleet.store.restore_from(copy)
     fleet.register(*place)
     started = fleet.places[1][0]
     await fleet.kill(started)
@@ -464,7 +464,7 @@
     fleet.register(*place, slots=9)
     await asyncio.sleep(3.0)
     lost = StoreCopy({k: v for k, v in copy.items.items() if place[0] not in k}, copy.revision)
-    fleet.store.come_back_from(lost)
+    fleet.store.restore_from(lost)
     started = _first_reader(fleet).here.host
     await fleet.kill(started)
     await fleet.start_node(started)
@@ -485,7 +485,7 @@
     fleet = GrowthFleet(size)
     await fleet.start()
     await asyncio.sleep(8.0)
-    fleet.store.come_back_from(fleet.store.copy())
+    fleet.store.restore_from(fleet.store.copy())
     # The first reader in order can't reach the store until just before the end.
     _first_reader(fleet).reader._resume_at = now() + 5.0
     await asyncio.sleep(5.2)
--- a/caperstack/platform/tests/test_watch.py
+++ b/caperstack/platform/tests/test_watch.py
@@ -26,7 +26,7 @@
     async def asyncSetUp(self):
         address = free_addresses(1)[0]
         self.store = StandinStore([address])
-        self.troubles = self.store.troubles[address]
+        self.faults = self.store.faults[address]
         await self.store.start()
         self.addAsyncCleanup(self.store.stop)
         self.store.put(KEY, configuration(1, [], ["s"]))
@@ -75,17 +75,17 @@
 
     async def test_watch_goes_on_after_its_history_is_dropped(self):
         """The store drops its history with a change in the gap, and the watch never hears of it."""
-        self.troubles.cut = True
+        self.faults.cut = True
         self.store.put(KEY, configuration(2, [], ["s"]))
         self.store.drop_history()
-        self.troubles.cut = False
+        self.faults.cut = False
         await self.until(lambda: self.version == 2)
         self.store.put(KEY, configuration(3, [], ["s"]))
         await self.until(lambda: self.version == 3)
 
     async def test_store_that_turns_away_is_not_asked_without_end(self):
         """The store answers 503 at once, and the watch asks thousands of times a second."""
-        self.troubles.status = 503
+        self.faults.status = 503
         self.store.drop_history()
         await asyncio.sleep(0.1)
         before = self.store.calls
@@ -134,10 +134,10 @@
         copy = self.store.copy()
         self.store.put(KEY, configuration(2, [], ["s"]))
         await self.until(lambda: self.version == 2)
-        self.troubles.cut = True
-        self.store.come_back_from(copy)
+        self.faults.cut = True
+        self.store.restore_from(copy)
         await self.until(lambda: self.watch._failures > 2)
-        self.troubles.cut = False
+        self.faults.cut = False
         await self.until(lambda: len(moments) > 1)
         self.assertLess(moments[1] - moments[0], 0.25)
 
@@ -167,7 +167,7 @@
         self.store.drop_history()
         with self.assertRaises(HistoryError):
             await self.client.watch("op/", 0, deadline_after(1.0))
-        self.troubles.status = 500
+        self.faults.status = 500
         with self.assertRaises(PlatformError) as caught:
             await self.client.watch("op/", 0, deadline_after(1.0))
         self.assertNotIsInstance(caught.exception, HistoryError)
--- a/caperstack/platform/tests/test_zones.py
+++ b/caperstack/platform/tests/test_zones.py
@@ -35,7 +35,7 @@
                 _, reply = await self.fleet.ask(host, path, method)
                 self.assertEqual(reply.code, 200)
         self.assertEqual(self.runs_at(self.first), before)
-        self.fleet.take_back(self.first.zone)
+        self.fleet.end_evacuation(self.first.zone)
         await self.fleet.until(self.evacuated(self.first.zone, False), "taken back", 2.0)
 
         async def works():
@@ -69,7 +69,7 @@
         await self.until(self.evacuated(self.first.zone), "known everywhere")
         self.third.node.kill()
         self.third.boot["platformSettings"] = {"address": self.fleet.store_addresses[1]}
-        self.fleet.store.troubles[self.fleet.store_addresses[1]].status = 503
+        self.fleet.store.faults[self.fleet.store_addresses[1]].status = 503
         before = self.runs_at(self.first)
         self.fleet.start_node(self.third)
         await self.until(lambda: self.fleet.ready(self.third), "ready")
@@ -122,14 +122,14 @@
         self.chill(self.first, 3.0)
         replies = await self.ask_many("/list/", 60, 2.5)
         self.assertEqual({reply.code for reply in replies}, {200})
-        self.assertEqual(self.fleet.ends, [])
+        self.assertEqual(self.fleet.crashes, [])
 
     async def test_only_cold_servers_refuse_at_once_what_they_cannot_bear(self):
         """All servers of a service are cold: they end, or callers wait in vain."""
         self.chill(self.third, 4.0)
         replies = await self.ask_many("/rates/", 40, 3.0)
         refused = [reply for reply in replies if reply.code == 503]
-        self.assertEqual(self.fleet.ends, [])
+        self.assertEqual(self.fleet.crashes, [])
         self.assertEqual({reply.code for reply in replies}, {200, 503})
         self.assertTrue(all(float(reply.headers["Retry-After"]) > 0 for reply in refused))
         self.assertLess(sorted(r.request_time for r in refused)[len(refused) // 2], 0.2)
@@ -142,7 +142,7 @@
         self.fleet.start_node(self.third)
         await self.until(lambda: self.fleet.ready(self.third), "ready")
         await self.ask_many("/rates/", 40, 2.0)
-        self.assertEqual(self.fleet.ends, [])
+        self.assertEqual(self.fleet.crashes, [])
 
     async def test_cold_header_that_is_no_number_is_told_once_and_changes_nothing(self):
         for host in self.fleet.hosts:
--- a/caperstack/soak/asking.py
+++ b/caperstack/soak/asking.py
@@ -35,7 +35,7 @@
     host = ground.some_host()
     begun = now()
     method = "POST" if once else "GET"
-    name = ground.fleet.new_name()
+    name = ground.fleet.new_request_id()
     try:
         _, reply = await ground.fleet.ask(host, path, method, name=name)
         code, whole = reply.code, reply.body == BODY
--- a/caperstack/soak/faults.py
+++ b/caperstack/soak/faults.py
@@ -98,23 +98,23 @@
     window.end = now()
 
 
-def _store(**troubles):
+def _store(**faults):
     async def fault(ground):
-        addresses = list(ground.fleet.store.troubles)
+        addresses = list(ground.fleet.store.faults)
         chosen = addresses if ground.rng.random() < 0.5 else addresses[:1]
         for address in chosen:
-            for name, value in troubles.items():
-                setattr(ground.fleet.store.troubles[address], name, value)
+            for name, value in faults.items():
+                setattr(ground.fleet.store.faults[address], name, value)
         windows = [ground.open_window(host, process=False) for host in ground.fleet.hosts]
         await asyncio.sleep(ground.rng.uniform(1.0, 5.0))
         for address in chosen:
-            for name, value in troubles.items():
-                setattr(ground.fleet.store.troubles[address], name, type(value)())
+            for name, value in faults.items():
+                setattr(ground.fleet.store.faults[address], name, type(value)())
         await asyncio.sleep(STORE_SETTLED_SECONDS)
         for window in windows:
             window.end = now()
 
-    fault.__doc__ = f"The store is in trouble for all readers or some: {troubles}."
+    fault.__doc__ = f"The store is in trouble for all readers or some: {faults}."
     return fault
 
 
@@ -128,7 +128,7 @@
     windows = [ground.open_window(host, process=False) for host in ground.fleet.hosts]
     await ground.fleet.restore_store(copy, ground.rng.uniform(0.1, 1.5))
     await asyncio.sleep(ground.rng.uniform(0.0, 0.5))
-    ground.fleet.store.write_again()
+    ground.fleet.store.rewrite_lost()
     await _move(ground, 1)
     await asyncio.sleep(STORE_SETTLED_SECONDS)
     for window in windows:
@@ -181,7 +181,7 @@
     for host in ground.fleet.hosts:
         if host.zone == zone:
             _chill(host)
-    ground.fleet.take_back(zone)
+    ground.fleet.end_evacuation(zone)
     await asyncio.sleep(COLD_SECONDS)
 
 
@@ -198,17 +198,17 @@
     behaviour.cold_bears = COLD_BEARS
 
 
-def _conduct(seconds, **troubles):
+def _conduct(seconds, **faults):
     async def fault(ground):
         behaviour = ground.some_host().instance.behaviour
-        calm = {name: getattr(type(behaviour)(), name) for name in troubles}
-        for name, value in troubles.items():
+        calm = {name: getattr(type(behaviour)(), name) for name in faults}
+        for name, value in faults.items():
             setattr(behaviour, name, value)
         await asyncio.sleep(seconds)
         for name, value in calm.items():
             setattr(behaviour, name, value)
 
-    fault.__doc__ = f"A backend server is in trouble: {troubles}."
+    fault.__doc__ = f"A backend server is in trouble: {faults}."
     return fault
 
 
--- a/caperstack/soak/judge.py
+++ b/caperstack/soak/judge.py
@@ -128,19 +128,19 @@
     """Yield the targets of requests that went on to servers though three had ended of them."""
     borders = [0.0, *sorted(ground.full_stops), float("inf")]
     for target in ground.fatal:
-        ends = sorted(end.at for end in ground.fleet.ends if end.target == target)
+        crashes = sorted(end.at for end in ground.fleet.crashes if end.target == target)
         sends = [run for own in runs.values() for run in own if run.target == target]
         for begin, end in pairwise(borders):
             # What nodes knew of it is gone with the last of them.
-            own_ends = [at for at in ends if begin < at <= end]
+            own_ends = [at for at in crashes if begin < at <= end]
             late = [run for run in sends if begin < run.at <= end and _late(ground, run, own_ends)]
             if len(late) > SENDS_MOST:
                 yield f"{target} {len(late)} times, {len(own_ends)} ended"
 
 
-def _late(ground, run, ends):
+def _late(ground, run, crashes):
     """Return whether the node beside the server should have kept a request away from it."""
     settled = SETTLED_SECONDS + SLACK_SECONDS
     host = next(h.ip for h in ground.fleet.hosts if run in h.instance.ledger)
     itself = not ground.troubled(run.at - settled, run.at, host, store=False)
-    return itself and len(ends) >= 3 and run.at > ends[2] + settled
+    return itself and len(crashes) >= 3 and run.at > crashes[2] + settled
--- a/caperstack/soak/tests/test_judge.py
+++ b/caperstack/soak/tests/test_judge.py
@@ -6,7 +6,7 @@
 import unittest
 from types import SimpleNamespace
 
-from caperstack.platform.standin.fleet import ServerEnd
+from caperstack.platform.standin.fleet import ServerCrash
 from caperstack.platform.standin.instance import Run
 from caperstack.soak.ground import Evacuation, Fact, Ground, Window
 from caperstack.soak.judge import CUT, NOBODY_LISTENS, Asked, judge
@@ -20,7 +20,7 @@
         self.ledger = []
         instance = SimpleNamespace(ledger=self.ledger, overwhelmed=0)
         host = SimpleNamespace(ip="h1", zone="a", instance=instance)
-        self.fleet = SimpleNamespace(hosts=[host], ends=[])
+        self.fleet = SimpleNamespace(hosts=[host], crashes=[])
         self.ground = Ground(self.fleet, random.Random(1), 0.0)
 
     def run_once(self, name="r", at=10.0, instance="i1", service="bookings", target="/bookings/"):
@@ -65,7 +65,7 @@
         # while a node is not itself.
         target = "/listings/fatal"
         self.ground.fatal.append(target)
-        self.fleet.ends += [ServerEnd(float(at), f"i{at}", target) for at in (1, 2, 3)]
+        self.fleet.crashes += [ServerCrash(float(at), f"i{at}", target) for at in (1, 2, 3)]
         for number in range(4):
             self.run_once(f"r{number}", 8.0 + number / 10, "i4", "listings", target)
         asked = [Asked(f"r{n}", target, "h1", 8.0, 9.0, 502, True, False) for n in range(4)]
@@ -80,7 +80,7 @@
         # known again.
         target = "/listings/fatal"
         self.ground.fatal.append(target)
-        self.fleet.ends += [ServerEnd(float(at), f"i{at}", target) for at in (1, 2, 3)]
+        self.fleet.crashes += [ServerCrash(float(at), f"i{at}", target) for at in (1, 2, 3)]
         self.ground.full_stops.append(4.0)
         for number in range(4):
             self.run_once(f"r{number}", 8.0 + number / 10, "i4", "listings", target)
