--- a/caperstack/platform/standin/fleet.py
+++ b/caperstack/platform/standin/fleet.py
@@ -197,7 +197,7 @@
         path = Path(self._directory.name) / f"boot-{number}.json"
         node = PlatformNode(f"node-{number}", path, self._directory.name)
         host = Host(ip, boot["zone"], instance, boot, node)
-        instance.on_fatal = lambda _instance, target: self.crash(host, target)
+        instance.on_crash = lambda _instance, target: self.crash(host, target)
         return host
 
     async def __aenter__(self):
--- a/caperstack/platform/standin/instance.py
+++ b/caperstack/platform/standin/instance.py
@@ -91,13 +91,13 @@
         The headers of each request that ran, with its method, target and body.
     born_ms : int
         When it started, in milliseconds since 1970.
-    broken_off : int
+    cancelled : int
         Requests whose connection closed while they ran.
     misdirected : int
         Requests that were meant for another instance.
-    overwhelmed : int
+    overloaded : int
         How often it ended since it was cold and got more than it bears.
-    on_fatal : callable
+    on_crash : callable
         Called with the instance and the target when a request has ended it.
     """
 
@@ -110,11 +110,11 @@
     runs: Counter = field(default_factory=Counter)
     ledger: list = field(default_factory=list)
     seen: list = field(default_factory=list)
-    broken_off: int = 0
+    cancelled: int = 0
     misdirected: int = 0
-    overwhelmed: int = 0
+    overloaded: int = 0
     running: int = 0
-    on_fatal: object = None
+    on_crash: object = None
 
     async def start(self):
         """Listen."""
@@ -174,9 +174,9 @@
         self.runs[name] += 1
         self.ledger.append(Run(name, now(), self.name, self.service, request.uri))
         seen = dict(request.headers.get_all())
-        if self._overwhelmed():
-            self.overwhelmed += 1
-            self.on_fatal(self, "")
+        if self._is_overloaded():
+            self.overloaded += 1
+            self.on_crash(self, "")
             return
         self.seen.append(
             seen | {"method": request.method, "target": request.uri, "body": request.body}
@@ -187,16 +187,16 @@
         try:
             await asyncio.sleep(seconds * self.behaviour.pace)
         except asyncio.CancelledError:
-            self.broken_off += 1
+            self.cancelled += 1
             raise
         finally:
             self.running -= 1
         if fatal:
-            self.on_fatal(self, request.uri)
+            self.on_crash(self, request.uri)
         else:
             self._answer(request)
 
-    def _overwhelmed(self):
+    def _is_overloaded(self):
         """Return whether the server got more in a second than it bears, cold all the while."""
         if now() >= self.behaviour.cold_until or not self.behaviour.cold_bears:
             return False
--- a/caperstack/platform/tests/test_path.py
+++ b/caperstack/platform/tests/test_path.py
@@ -64,12 +64,12 @@
         async def running():
             return self.fleet.runs("gone") == 1
 
-        async def broken_off():
-            return sum(host.instance.broken_off for host in self.fleet.hosts) == 1
+        async def cancelled():
+            return sum(host.instance.cancelled for host in self.fleet.hosts) == 1
 
         await self.until(running, "the listing runs")
         writer.close()
-        await self.fleet.until(broken_off, "the backend server notices", 2.0)
+        await self.fleet.until(cancelled, "the backend server notices", 2.0)
 
 
 class TestBackendServers(FleetCase):
--- a/caperstack/soak/judge.py
+++ b/caperstack/soak/judge.py
@@ -50,9 +50,9 @@
     broken["after leaving"] = list(_after_leaving(ground))
     broken["evacuated zone"] = list(_in_evacuated_zone(ground))
     broken["cold server spared"] = [
-        f"{host.ip} {host.instance.overwhelmed} times"
+        f"{host.ip} {host.instance.overloaded} times"
         for host in ground.fleet.hosts
-        if host.instance.overwhelmed
+        if host.instance.overloaded
     ]
     broken["fatal request kept away"] = list(_fatal_sent_on(ground, runs))
     broken["node"] = list(ground.problems)
--- a/caperstack/soak/tests/test_judge.py
+++ b/caperstack/soak/tests/test_judge.py
@@ -18,7 +18,7 @@
 
     def setUp(self):
         self.ledger = []
-        instance = SimpleNamespace(ledger=self.ledger, overwhelmed=0)
+        instance = SimpleNamespace(ledger=self.ledger, overloaded=0)
         host = SimpleNamespace(ip="h1", zone="a", instance=instance)
         self.fleet = SimpleNamespace(hosts=[host], crashes=[])
         self.ground = Ground(self.fleet, random.Random(1), 0.0)
@@ -126,7 +126,7 @@
 
     def test_cold_server_that_got_more_than_it_bears(self):
         self.run_once()
-        self.fleet.hosts[0].instance.overwhelmed = 1
+        self.fleet.hosts[0].instance.overloaded = 1
         self.assertEqual(self.broken(), {"cold server spared"})
 
     def test_node_that_ended_badly(self):
