--- a/caperstack/platform/standin/instance.py
+++ b/caperstack/platform/standin/instance.py
@@ -200,7 +200,9 @@
         """Return whether the server got more in a second than it bears, cold all the while."""
         if now() >= self.behaviour.cold_until or not self.behaviour.cold_bears:
             return False
-        return self.runs_since(max(self.behaviour.cold_since, now() - 1.0)) > self.behaviour.cold_bears
+        return (
+            self.runs_since(max(self.behaviour.cold_since, now() - 1.0)) > self.behaviour.cold_bears
+        )
 
     def runs_since(self, since):
         """Return how many requests this instance ran since that point."""
--- a/caperstack/platform/standin/growth.py
+++ b/caperstack/platform/standin/simulation.py
@@ -27,7 +27,7 @@
 from caperstack.settings.store import SettingsStore
 from caperstack.settings.sync import SettingsSync
 
-__all__ = ["SERVICES", "GrowthFleet", "Node", "Traffic"]
+__all__ = ["SERVICES", "Node", "SimulatedFleet", "Traffic"]
 
 #: The layout of a large fleet: its zones and services, hosts in turn.
 ZONES = ("a", "b", "c", "d", "e")
@@ -36,8 +36,8 @@
 PEER_PORT = 7600
 
 #: One way between hosts of a zone and of two zones, in seconds.
-NEAR_SECONDS = 0.0001
-FAR_SECONDS = 0.0009
+SAME_ZONE_SECONDS = 0.0001
+CROSS_ZONE_SECONDS = 0.0009
 
 #: What a packet's headers add to each message, in bytes (IPv4 and TCP).
 PACKET_BYTES = 40
@@ -47,23 +47,23 @@
 class Traffic:
     """What nodes sent each other: messages and bytes by kind, and bytes between zones."""
 
-    messages: Counter = field(default_factory=Counter)
-    sizes: Counter = field(default_factory=Counter)
-    far_bytes: int = 0
+    messages_by_kind: Counter = field(default_factory=Counter)
+    bytes_by_kind: Counter = field(default_factory=Counter)
+    cross_zone_bytes: int = 0
 
     def add(self, kind, size, far):
         """Count a message of that kind."""
-        self.messages[kind] += 1
-        self.sizes[kind] += size + PACKET_BYTES
-        self.far_bytes += (size + PACKET_BYTES) * far
+        self.messages_by_kind[kind] += 1
+        self.bytes_by_kind[kind] += size + PACKET_BYTES
+        self.cross_zone_bytes += (size + PACKET_BYTES) * far
 
     @property
     def total_bytes(self):
         """The bytes of all messages."""
-        return sum(self.sizes.values())
+        return sum(self.bytes_by_kind.values())
 
 
-class _Quiet:
+class _NullService:
     """Events, links and ports that do nothing."""
 
     def state(self, *_arguments, **_fields):
@@ -76,7 +76,7 @@
         """Connections are made by the fleet."""
 
 
-class _QuietOwner:
+class _NullOwner:
     """An owner that is told of its backend server and does nothing."""
 
     def set_listed(self, listed):
@@ -92,7 +92,7 @@
         """Nothing starts."""
 
 
-class _End:
+class _SimulatedConnection:
     """One node's end of a connection."""
 
     def __init__(self, fleet, sender, receiver):
@@ -110,7 +110,7 @@
         far = self._sender.here.zone != self._receiver.here.zone
         size = len(encode_frame(message, body))
         self._fleet.traffic.add(type(message).__name__, size, far)
-        way = (FAR_SECONDS if far else NEAR_SECONDS) + self._fleet.delay()
+        way = (CROSS_ZONE_SECONDS if far else SAME_ZONE_SECONDS) + self._fleet.draw_read_delay()
         # Messages of one connection arrive in order.
         self._delivered_at = max(self._delivered_at, now() + way)
         asyncio.get_running_loop().call_at(self._delivered_at, self._deliver, message, body)
@@ -120,14 +120,14 @@
         self.send(message, body)
 
     def _deliver(self, message, body):
-        if self.closed or not self._fleet.runs(self._receiver):
+        if self.closed or not self._fleet.is_current(self._receiver):
             return
         self.other.arrival = now()
         for hook in self._receiver.hooks:
             hook.take(self._sender.here.host, self.other, message, body)
 
 
-class _Link:
+class _SimulatedLink:
     """The way to a member: connected when it is touched."""
 
     def __init__(self, fleet, node, host):
@@ -139,14 +139,14 @@
     @property
     def usable(self):
         """Whether the member is there."""
-        return self._fleet.lives(self._host)
+        return self._fleet.is_running(self._host)
 
     def touch(self):
         """Connect, once."""
         if not self._connected and self.usable:
             self._connected = True
             asyncio.get_running_loop().call_later(
-                FAR_SECONDS, self._fleet.connect, self._node, self._host
+                CROSS_ZONE_SECONDS, self._fleet.connect, self._node, self._host
             )
 
 
@@ -169,13 +169,13 @@
         client = fleet.store.client()
         self.reader = StoreReader(self.here, client, restores)
         self.watch = OperatorWatch(self.here, client, self.reader)
-        quiet = _Quiet()
+        quiet = _NullService()
         self._services = {
             "metrics": Metrics(host),
             "events": quiet,
             "links": quiet,
             "peer port": quiet,
-            "owner": _QuietOwner(),
+            "owner": _NullOwner(),
             "settings": self.settings,
             "members": self.members,
             "settings sync": self.sync,
@@ -206,10 +206,10 @@
 
     def _on_member(self, member, gone):
         if not gone:
-            member.owner = _Link(self.fleet, self, member.host)
+            member.owner = _SimulatedLink(self.fleet, self, member.host)
 
 
-class GrowthFleet:
+class SimulatedFleet:
     """Nodes of one fleet, with the real settings and membership code, in one process.
 
     Parameters
@@ -221,13 +221,13 @@
     ----------
     traffic : Traffic
         What was sent since `measure` was called last.
-    busy_seconds : float
+    mean_read_delay_seconds : float
         How long a message waits on average until a busy node reads it.
     """
 
     def __init__(self, size):
         self.store = ModelStore()
-        self.busy_seconds = 0.0
+        self.mean_read_delay_seconds = 0.0
         self.traffic = Traffic()
         self._nodes = {}
         self._places = [self._place(number) for number in range(size)]
@@ -281,17 +281,21 @@
         for node in nodes:
             await node.stop()
 
-    def lives(self, host):
+    def is_running(self, host):
         """Return whether a node runs there."""
         return host in self._nodes
 
-    def runs(self, node):
+    def is_current(self, node):
         """Return whether that start of a node has not been killed."""
         return self._nodes.get(node.here.host) is node
 
-    def delay(self):
+    def draw_read_delay(self):
         """Return how long the next message waits until its receiver reads it."""
-        return random.expovariate(1 / self.busy_seconds) if self.busy_seconds else 0.0
+        return (
+            random.expovariate(1 / self.mean_read_delay_seconds)
+            if self.mean_read_delay_seconds
+            else 0.0
+        )
 
     async def kill(self, host):
         """Kill a node; its peers see their connections close."""
@@ -310,7 +314,9 @@
         other = self._nodes.get(host)
         if other is None or self._nodes.get(node.here.host) is not node:
             return
-        there, back = _End(self, node, other), _End(self, other, node)
+        there, back = _SimulatedConnection(self, node, other), _SimulatedConnection(
+            self, other, node
+        )
         there.other, back.other = back, there
         for hook in node.hooks:
             hook.opened(host, there)
@@ -324,7 +330,7 @@
         await asyncio.sleep(seconds)
         return self.traffic, self.store.calls - calls
 
-    def agreed(self):
+    def has_converged(self):
         """Return whether all nodes hold the same, and all of the store."""
         digests = {msgspec.json.encode(node.settings.revisions) for node in self.nodes}
         return len(digests) == 1 and self._newest_held() == self.store.revision
--- a/caperstack/platform/tests/test_growth.py
+++ b/caperstack/platform/tests/test_growth.py
@@ -9,7 +9,7 @@
 
 from caperstack.membership.subset import SUBSET
 from caperstack.platform.entries import decode_entry
-from caperstack.platform.standin.growth import SERVICES, GrowthFleet, Node
+from caperstack.platform.standin.simulation import SERVICES, SimulatedFleet, Node
 from caperstack.play.virtual import run_virtual
 from caperstack.routing.dispatch import Dispatcher
 
@@ -19,7 +19,7 @@
 async def _grown(size):
     """Return bytes a node for a start of all, one change, twenty, and another start of all."""
     random.seed(size)
-    fleet = GrowthFleet(size)
+    fleet = SimulatedFleet(size)
     figures = {}
     for what, seconds, stroke in (
         ("start", 10.0, fleet.start),
@@ -30,7 +30,7 @@
         task = asyncio.create_task(stroke())
         traffic, _ = await fleet.measure(seconds)
         await task
-        if not fleet.agreed():
+        if not fleet.has_converged():
             raise AssertionError(f"{size} hosts do not agree after: {what}")
         figures[what] = traffic.total_bytes / size
     await fleet.stop()
@@ -81,11 +81,11 @@
     """What one node does for one change, in function calls."""
 
     async def steps_of_a_change(self, size):
-        fleet = GrowthFleet(size)
+        fleet = SimulatedFleet(size)
         node = Node(fleet, *fleet.places[0])
         node.reader.start = _nothing
         # All peers can be reached, so that two parents are enough.
-        fleet.lives = lambda _host: True
+        fleet.is_running = lambda _host: True
         await node.start()
         self.addAsyncCleanup(node.sync.stop)
         dispatcher = Dispatcher(node.here)
--- a/caperstack/platform/tests/test_restore.py
+++ b/caperstack/platform/tests/test_restore.py
@@ -13,7 +13,7 @@
 from caperstack.platform.entries import ServerEntry, decode_entry
 from caperstack.platform.names import CONFIGURATION_KEY
 from caperstack.platform.standin.fleet import configuration, route_row
-from caperstack.platform.standin.growth import SERVICES, GrowthFleet
+from caperstack.platform.standin.simulation import SERVICES, SimulatedFleet
 from caperstack.platform.standin.store import StandinStore, StoreCopy
 from caperstack.platform.store import StoreClient, StoreItem, StoreRead
 from caperstack.platform.tests.fleetcase import FleetCase
@@ -394,7 +394,7 @@
 async def _seconds_after_a_restore(size, rests):
     """Return how long each of several versions takes to be known at all nodes."""
     random.seed(size)
-    fleet = GrowthFleet(size)
+    fleet = SimulatedFleet(size)
     await fleet.start()
     await asyncio.sleep(8.0)
     copy = fleet.store.copy()
@@ -416,7 +416,7 @@
 async def _seconds_to_know_who_leaves(size):
     """Return how long after a restore a leaving mark takes, beside a node that starts."""
     random.seed(size)
-    fleet = GrowthFleet(size)
+    fleet = SimulatedFleet(size)
     await fleet.start()
     await asyncio.sleep(8.0)
     copy = fleet.store.copy()
@@ -456,7 +456,7 @@
     writes again 2.2 s later.
     """
     random.seed(size)
-    fleet = GrowthFleet(size)
+    fleet = SimulatedFleet(size)
     await fleet.start()
     await asyncio.sleep(8.0)
     place = fleet.places[-1]
@@ -482,7 +482,7 @@
 async def _seconds_to_know_who_left(size):
     """Return how long the end of an entry takes that goes five seconds after a restore."""
     random.seed(size)
-    fleet = GrowthFleet(size)
+    fleet = SimulatedFleet(size)
     await fleet.start()
     await asyncio.sleep(8.0)
     fleet.store.restore_from(fleet.store.copy())
--- a/caperstack/platform/tests/test_spread.py
+++ b/caperstack/platform/tests/test_spread.py
@@ -7,7 +7,7 @@
 from caperstack.clock import now
 from caperstack.platform.names import CONFIGURATION_KEY
 from caperstack.platform.standin.fleet import configuration
-from caperstack.platform.standin.growth import SERVICES, GrowthFleet
+from caperstack.platform.standin.simulation import SERVICES, SimulatedFleet
 from caperstack.play.virtual import run_virtual
 
 #: Within so long of its acknowledgement a version is to be known at every node.
@@ -21,7 +21,7 @@
 
 async def _started(size, seed):
     random.seed(seed)
-    fleet = GrowthFleet(size)
+    fleet = SimulatedFleet(size)
     await fleet.start()
     await asyncio.sleep(8.0 + random.random())
     return fleet
@@ -38,7 +38,7 @@
 async def _seconds_to_know(size, seed, share, busy):
     """Return how long it takes until the first and the last living node know a new version."""
     fleet = await _started(size, seed)
-    fleet.busy_seconds = busy
+    fleet.mean_read_delay_seconds = busy
     await asyncio.sleep(3.0)
     begun = now()
     fleet.store.put(CONFIGURATION_KEY, configuration(2, [], SERVICES))
@@ -59,7 +59,7 @@
 async def _readings(size, seconds):
     """Return how often the store is read in each span of so many seconds by busy nodes."""
     fleet = await _started(size, 1)
-    fleet.busy_seconds = BUSY_SECONDS
+    fleet.mean_read_delay_seconds = BUSY_SECONDS
     counts = []
     for _ in range(4):
         _, calls = await fleet.measure(seconds)
--- a/caperstack/platform/tests/test_suspect_growth.py
+++ b/caperstack/platform/tests/test_suspect_growth.py
@@ -6,7 +6,7 @@
 import unittest
 
 from caperstack.calls.fingerprint import Fingerprint
-from caperstack.platform.standin.growth import GrowthFleet, Node
+from caperstack.platform.standin.simulation import SimulatedFleet, Node
 from caperstack.play.virtual import run_virtual
 from caperstack.quarantine.suspects import Verdict
 
@@ -25,7 +25,7 @@
 async def _told(size):
     """Return messages and bytes a node for each of three ends, and what all nodes hold then."""
     random.seed(size)
-    fleet = GrowthFleet(size)
+    fleet = SimulatedFleet(size)
     task = asyncio.create_task(fleet.start())
     await asyncio.sleep(10.0)
     await task
@@ -34,8 +34,10 @@
         node = fleet.nodes[number * size // 3]
         node.suspects.note_end(100 + number, [FATAL, *BYSTANDERS])
         traffic, _ = await fleet.measure(TOLD_SECONDS)
-        messages, sent = (c["Suspicions"] / size for c in (traffic.messages, traffic.sizes))
-        figures.append((messages, sent))
+        messages_by_kind, sent = (
+            c["Suspicions"] / size for c in (traffic.messages_by_kind, traffic.bytes_by_kind)
+        )
+        figures.append((messages_by_kind, sent))
     verdicts = {node.suspects.verdict(FATAL) for node in fleet.nodes}
     fleet.nodes[1].suspects.note_survival(BYSTANDERS[0])
     traffic, _ = await fleet.measure(TOLD_SECONDS)
@@ -68,8 +70,8 @@
         # round for each.
         for size in SIZES:
             figures, _, _, _ = told(size)
-            for messages, _sent in figures:
-                self.assertLessEqual(messages, MESSAGES_MOST, (size, figures))
+            for messages_by_kind, _sent in figures:
+                self.assertLessEqual(messages_by_kind, MESSAGES_MOST, (size, figures))
 
     def test_all_nodes_hold_the_same_soon(self):
         for size in SIZES:
