--- a/caperstack/platform/standin/demo.py
+++ b/caperstack/platform/standin/demo.py
@@ -23,9 +23,9 @@
 
 #: How often a neighbour takes or leaves a host, in seconds, how likely it has
 #: it, and how slow work is meanwhile.
-VISIT_SECONDS = 0.3
-VISIT_SHARE = 0.25
-VISIT_PACE = 4.0
+SLOW_PHASE_SECONDS = 0.3
+SLOW_PHASE_SHARE = 0.25
+SLOW_PHASE_FACTOR = 4.0
 
 
 @dataclass(slots=True)
@@ -45,15 +45,15 @@
     return parser
 
 
-async def _neighbours(fleet, rng):
+async def _toggle_slow_phases(fleet, rng):
     """Take and leave hosts for ever, as noisy neighbours do."""
     while True:
         for host in fleet.hosts:
-            host.instance.behaviour.pace = VISIT_PACE if rng.random() < VISIT_SHARE else 1.0
-        await asyncio.sleep(VISIT_SECONDS)
+            host.instance.behaviour.pace = SLOW_PHASE_FACTOR if rng.random() < SLOW_PHASE_SHARE else 1.0
+        await asyncio.sleep(SLOW_PHASE_SECONDS)
 
 
-async def _trouble(fleet, seconds):
+async def _disturb_fleet(fleet, seconds):
     """Stop one node in peace, then let another host's backend server drain."""
     await asyncio.sleep(seconds * 0.25)
     stopped, leaving = fleet.hosts[0], fleet.hosts[3]
@@ -72,7 +72,7 @@
     return _Result(path, name, reply.code, now() - began)
 
 
-async def _drive(fleet, options, rng):
+async def _send_calls(fleet, options, rng):
     tasks = []
     end = deadline_after(options.seconds)
     while now() < end:
@@ -84,7 +84,7 @@
     return await asyncio.gather(*tasks)
 
 
-def _show(results):
+def _print_summary(results):
     print(f"\n{'path':14}{'calls':>6}{'p50 ms':>8}{'p99 ms':>8}  outcomes")
     for path in sorted({result.path for result in results}):
         own = [result for result in results if result.path == path]
@@ -94,7 +94,7 @@
         print(f"{path:14}{len(own):6}{times[len(times) // 2]:8.0f}{p99:8.0f}  {codes}")
 
 
-def _explain(fleet, result):
+def _print_request_log(fleet, result):
     print(f"\nThe story of request {result.name}, from the nodes' logs:")
     lines = [line for host in fleet.hosts for line in host.node.all_lines()]
     for line in sorted(lines, key=lambda line: line["at_us"]):
@@ -104,11 +104,11 @@
 
 
 async def _demo(fleet, options, rng):
-    trouble = asyncio.create_task(_trouble(fleet, options.seconds))
-    results = await _drive(fleet, options, rng)
+    trouble = asyncio.create_task(_disturb_fleet(fleet, options.seconds))
+    results = await _send_calls(fleet, options, rng)
     status = await trouble
-    _show(results)
-    _explain(fleet, max(results, key=lambda result: result.seconds))
+    _print_summary(results)
+    _print_request_log(fleet, max(results, key=lambda result: result.seconds))
     twice = [r for r in results if r.path == "/bookings/" and fleet.runs(r.name) > 1]
     false = [r for r in results if r.code in (429, 503) and fleet.runs(r.name)]
     print(f'\nBookings run twice: {len(twice)}; false "not run": {len(false)}')
@@ -132,7 +132,7 @@
     async with PlatformFleet(list(SERVICES), list(ROUTES)) as fleet:
         for host in fleet.hosts:
             host.instance.behaviour.seconds = WORK_SECONDS[host.instance.service]
-        visits = asyncio.create_task(_neighbours(fleet, rng))
+        visits = asyncio.create_task(_toggle_slow_phases(fleet, rng))
         try:
             if options.serve:
                 await _serve(fleet)
