--- a/caperstack/platform/tests/test_growth.py
+++ b/caperstack/platform/tests/test_growth.py
@@ -9,7 +9,7 @@
 
 from caperstack.membership.subset import SUBSET
 from caperstack.platform.entries import decode_entry
-from caperstack.platform.standin.simulation import SERVICES, SimulatedFleet, Node
+from caperstack.platform.standin.simulation import SERVICES, Node, SimulatedFleet
 from caperstack.play.virtual import run_virtual
 from caperstack.routing.dispatch import Dispatcher
 
--- a/caperstack/platform/tests/test_suspect_growth.py
+++ b/caperstack/platform/tests/test_suspect_growth.py
@@ -6,7 +6,7 @@
 import unittest
 
 from caperstack.calls.fingerprint import Fingerprint
-from caperstack.platform.standin.simulation import SimulatedFleet, Node
+from caperstack.platform.standin.simulation import Node, SimulatedFleet
 from caperstack.play.virtual import run_virtual
 from caperstack.quarantine.suspects import Verdict
 
