--- a/caperstack/platform/standin/__init__.py
+++ b/caperstack/platform/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform: its store, its backend servers, and hosts on loopback."""
+"""Stand-ins for the platform: its store, its backend servers, and a fleet of hosts on loopback."""
--- a/caperstack/platform/standin/demo.py
+++ b/caperstack/platform/standin/demo.py
@@ -1,4 +1,4 @@
-"""A mesh of hosts on the platform's stand-ins: drive calls through trouble, or serve."""
+"""Demo fleet on the platform's stand-ins: send calls while servers slow down and stop, or serve."""
 
 import argparse
 import asyncio
@@ -21,8 +21,8 @@
 )
 WORK_SECONDS = {"listings": 0.12, "bookings": 0.15, "rates": 0.03}
 
-#: How often a neighbour takes or leaves a host, in seconds, how likely it has
-#: it, and how slow work is meanwhile.
+#: Every ``SLOW_PHASE_SECONDS`` each host enters a slow phase with the probability
+#: ``SLOW_PHASE_SHARE``, or leaves it; work takes ``SLOW_PHASE_FACTOR`` times longer in it.
 SLOW_PHASE_SECONDS = 0.3
 SLOW_PHASE_SHARE = 0.25
 SLOW_PHASE_FACTOR = 4.0
@@ -38,30 +38,34 @@
 
 def _parser():
     parser = argparse.ArgumentParser(prog="demo", description=__doc__)
-    parser.add_argument("--rate", type=float, default=40.0, help="calls a second")
+    parser.add_argument("--rate", type=float, default=40.0, help="calls per second")
     parser.add_argument("--seconds", type=float, default=8.0)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--serve", action="store_true", help="leave it running, drive no calls")
+    parser.add_argument(
+        "--serve", action="store_true", help="keep the fleet running without sending calls"
+    )
     return parser
 
 
 async def _toggle_slow_phases(fleet, rng):
-    """Take and leave hosts for ever, as noisy neighbours do."""
+    """Start and end slow phases of hosts until cancelled, as noisy neighbours cause them."""
     while True:
         for host in fleet.hosts:
-            host.instance.behaviour.pace = SLOW_PHASE_FACTOR if rng.random() < SLOW_PHASE_SHARE else 1.0
+            host.instance.behaviour.pace = (
+                SLOW_PHASE_FACTOR if rng.random() < SLOW_PHASE_SHARE else 1.0
+            )
         await asyncio.sleep(SLOW_PHASE_SECONDS)
 
 
 async def _disturb_fleet(fleet, seconds):
-    """Stop one node in peace, then let another host's backend server drain."""
+    """Stop one node with SIGTERM, then let the backend server of another host drain."""
     await asyncio.sleep(seconds * 0.25)
-    stopped, leaving = fleet.hosts[0], fleet.hosts[3]
+    stopped, draining = fleet.hosts[0], fleet.hosts[3]
     print(f"-- {stopped.ip}: SIGTERM")
     stopped.node.signal(signal.SIGTERM)
     await asyncio.sleep(seconds * 0.25)
-    print(f"-- {leaving.ip}: its backend server drains")
-    fleet.register(leaving, "draining")
+    print(f"-- {draining.ip}: its backend server drains")
+    fleet.register(draining, "draining")
     return await stopped.node.ended()
 
 
@@ -76,7 +80,7 @@
     tasks = []
     end = deadline_after(options.seconds)
     while now() < end:
-        # Callers on the first host have gone elsewhere before it stops.
+        # No calls enter at the first host, since its node is stopped meanwhile.
         host = rng.choice(fleet.hosts[1:])
         path = rng.choice(("/listings/a", "/listings/b", "/bookings/", "/rates/"))
         tasks.append(asyncio.create_task(_call(fleet, host, path)))
@@ -95,7 +99,7 @@
 
 
 def _print_request_log(fleet, result):
-    print(f"\nThe story of request {result.name}, from the nodes' logs:")
+    print(f"\nSlowest request {result.name} in the nodes' logs:")
     lines = [line for host in fleet.hosts for line in host.node.all_lines()]
     for line in sorted(lines, key=lambda line: line["at_us"]):
         if line.get("id") == result.name:
@@ -112,7 +116,7 @@
     twice = [r for r in results if r.path == "/bookings/" and fleet.runs(r.name) > 1]
     false = [r for r in results if r.code in (429, 503) and fleet.runs(r.name)]
     print(f'\nBookings run twice: {len(twice)}; false "not run": {len(false)}')
-    print(f"The stopped node ended with status {status}; store calls: {fleet.store.calls}")
+    print(f"Exit status of the stopped node: {status}; store calls: {fleet.store.calls}")
     answered = sum(result.code == 200 for result in results)
     return not twice and not false and status == 0 and answered > 0
 
@@ -132,17 +136,17 @@
     async with PlatformFleet(list(SERVICES), list(ROUTES)) as fleet:
         for host in fleet.hosts:
             host.instance.behaviour.seconds = WORK_SECONDS[host.instance.service]
-        visits = asyncio.create_task(_toggle_slow_phases(fleet, rng))
+        slow_phases = asyncio.create_task(_toggle_slow_phases(fleet, rng))
         try:
             if options.serve:
                 await _serve(fleet)
             return 0 if await _demo(fleet, options, rng) else 1
         finally:
-            visits.cancel()
+            slow_phases.cancel()
 
 
 def main(arguments=None):
-    """Run the command line; return the exit status."""
+    """Run the demo from the command line and return its exit status."""
     options = _parser().parse_args(arguments)
     try:
         return asyncio.run(_run(options))
