--- a/caperstack/platform/standin/demo.py
+++ b/caperstack/platform/standin/demo.py
@@ -31,7 +31,7 @@
 @dataclass(slots=True)
 class _Result:
     path: str
-    name: str
+    request_id: str
     code: int
     seconds: float
 
@@ -72,8 +72,8 @@
 async def _call(fleet, host, path):
     method = "POST" if path.startswith("/bookings") else "GET"
     began = now()
-    name, reply = await fleet.ask(host, path, method)
-    return _Result(path, name, reply.code, now() - began)
+    request_id, reply = await fleet.ask(host, path, method)
+    return _Result(path, request_id, reply.code, now() - began)
 
 
 async def _send_calls(fleet, options, rng):
@@ -99,10 +99,10 @@
 
 
 def _print_request_log(fleet, result):
-    print(f"\nSlowest request {result.name} in the nodes' logs:")
+    print(f"\nSlowest request {result.request_id} in the nodes' logs:")
     lines = [line for host in fleet.hosts for line in host.node.all_lines()]
     for line in sorted(lines, key=lambda line: line["at_us"]):
-        if line.get("id") == result.name:
+        if line.get("id") == result.request_id:
             shown = {k: v for k, v in line.items() if k not in ("at_us", "id")}
             print(f"  {shown.pop('host')} {shown.pop('kind')}: {shown}")
 
@@ -113,8 +113,8 @@
     status = await trouble
     _print_summary(results)
     _print_request_log(fleet, max(results, key=lambda result: result.seconds))
-    twice = [r for r in results if r.path == "/bookings/" and fleet.runs(r.name) > 1]
-    false = [r for r in results if r.code in (429, 503) and fleet.runs(r.name)]
+    twice = [r for r in results if r.path == "/bookings/" and fleet.runs(r.request_id) > 1]
+    false = [r for r in results if r.code in (429, 503) and fleet.runs(r.request_id)]
     print(f'\nBookings run twice: {len(twice)}; false "not run": {len(false)}')
     print(f"Exit status of the stopped node: {status}; store calls: {fleet.store.calls}")
     answered = sum(result.code == 200 for result in results)
