--- a/caperstack/platform/standin/fleet.py
+++ b/caperstack/platform/standin/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet on the platform's stand-ins: store, backend servers and real nodes on loopback."""
+"""A fleet on loopback: real nodes, with stand-ins for the platform's store and backend servers."""
 
 import asyncio
 import itertools
@@ -28,7 +28,7 @@
 
 __all__ = ["Host", "PlatformFleet", "PlatformNode", "ServerCrash", "configuration", "route_row"]
 
-#: The first of the loopback addresses that stand for hosts; one for each.
+#: Loopback address of the first host; the others follow it.
 FIRST_IP = (127, 0, 0, 11)
 
 ROUTE_COLUMNS = [
@@ -44,11 +44,11 @@
     "trafficSplit",
 ]
 
-_names = itertools.count(1)
+_serial_numbers = itertools.count(1)
 
 
 def route_row(prefix, service, kind="idempotent", attempts=2, **changes):
-    """Return a row of the configuration's routes; `changes` are by column."""
+    """Return a row of the configuration's route table, with the columns in `changes` replaced."""
     row = {
         "name": f"r{prefix.replace('/', '-')}",
         "authority": "x.example",
@@ -65,7 +65,11 @@
 
 
 def configuration(version, routes, services, connections=200, cold_per_second=0):
-    """Return a configuration with `routes` as `route_row` makes them, as operators write it."""
+    """Return a configuration document as operators write it.
+
+    `routes` are rows as returned by `route_row`, `cold_per_second` is the rate of requests
+    that a cold server tolerates (0 for no rate).
+    """
     return {
         "version": version,
         "routes": {"columns": ROUTE_COLUMNS, "rows": routes},
@@ -78,14 +82,17 @@
 
 
 class PlatformNode(Process):
-    """A node as the platform starts it: settings by environment, output read at will."""
+    """A node process started as the platform does, with its start settings in a file.
+
+    An environment variable names that file; the output can be read at any time.
+    """
 
     def __init__(self, name, boot_path, directory):
         super().__init__(name, ["caperstack.platform"], directory)
         self.boot_path = boot_path
 
     def start(self):
-        """Start it."""
+        """Start the process."""
         with open(self._path, "ab") as log:
             self._popen = subprocess.Popen(
                 [sys.executable, "-m", "caperstack.platform"],
@@ -95,17 +102,20 @@
             )
 
     def all_lines(self):
-        """Return all log lines, decoded."""
+        """Return all log lines so far, decoded from JSON."""
         return [json.loads(line) for line in self.output.splitlines() if line[:1] == "{"]
 
     def lines(self, kind):
-        """Return the log lines of that kind, decoded."""
+        """Return the log lines of a kind, decoded from JSON."""
         return [line for line in self.all_lines() if line["kind"] == kind]
 
 
 @dataclass(frozen=True, slots=True)
 class ServerCrash:
-    """A backend server that ended: when, which, and of what target if of one."""
+    """A crash of a backend server: when, which instance, and the request target that caused it.
+
+    The target is empty if no request caused the crash.
+    """
 
     at: float
     instance: str
@@ -114,7 +124,7 @@
 
 @dataclass
 class Host:
-    """One host of the fleet: its place, its backend server and its node."""
+    """One host of the fleet: address, zone, backend server, start settings and node."""
 
     ip: str
     zone: str
@@ -124,30 +134,33 @@
 
     @property
     def outbound(self):
-        """Where callers on the host send their requests."""
+        """The address to which callers on the host send their requests."""
         return self.boot["listen"]["outbound"]
 
 
 class PlatformFleet:
-    """Hosts with a node and a backend server each, and the store.
+    """A store and hosts with a node and a backend server each, as an asynchronous context.
 
     Parameters
     ----------
     services : list of str
-        The service of each host in turn.
+        The service of each host, in order.
     routes : list
-        Rows as `route_row` makes them.
+        Rows as returned by `route_row`.
+    page_items : int
+        How many items the store returns per page.
 
     Attributes
     ----------
-    crashes : list of ServerEnd
-        The backend servers that requests have ended.
+    crashes : list of ServerCrash
+        The crashes of backend servers so far.
     down_seconds : float
-        How long it takes until such a server has started again.
+        How long a crashed server is down before it restarts.
     unlisted_seconds : float
-        How long after its start until it registers.
+        How long after its restart the server registers itself.
     cold_per_second : float
-        Requests a second that cold servers are said to tolerate; 0 for no word.
+        Requests per second that a cold server tolerates according to the configuration;
+        0 for no rate.
     """
 
     def __init__(self, services, routes, page_items=50):
@@ -172,7 +185,7 @@
     def _host(self, number, service):
         ip = ".".join(str(part) for part in (*FIRST_IP[:3], FIRST_IP[3] + number))
         ports = self._ports
-        name = f"i-{next(_names):06x}"
+        name = f"i-{next(_serial_numbers):06x}"
         instance = StandinInstance(f"{ip}:{ports['backend']}", service, name)
         boot = {
             "nodeName": f"host-{number}",
@@ -228,23 +241,23 @@
         self._directory.cleanup()
 
     def configure(self):
-        """Publish the present routes as the next version."""
+        """Publish the current routes as the next version of the configuration."""
         self._version += 1
         self.rewrite_configuration()
 
     def rewrite_configuration(self):
-        """Write the present version again, as operators do when the store has lost it."""
+        """Write the current version again, as operators do when the store has lost it."""
         document = configuration(
             self._version, self.routes, self.services, cold_per_second=self.cold_per_second
         )
         self.store.put(CONFIGURATION_KEY, document)
 
     def register(self, host, state="ready"):
-        """Write the entry of the host's backend server."""
+        """Write the store entry of the host's backend server."""
         self.store.put(f"servers/{host.instance.name}", host.instance.entry(host.zone, state))
 
     def evacuate(self, zone):
-        """Ask that nothing more be sent to the backend servers of a zone."""
+        """Evacuate a zone: its backend servers get no further calls."""
         self.store.put(f"{EVACUATIONS_PREFIX}{zone}", {})
 
     def end_evacuation(self, zone):
@@ -252,14 +265,14 @@
         self.store.remove(f"{EVACUATIONS_PREFIX}{zone}")
 
     def withdraw(self, host):
-        """Remove the entry of the host's backend server."""
+        """Remove the store entry of the host's backend server."""
         self.store.remove(f"servers/{host.instance.name}")
 
     def crash(self, host, target=""):
-        """The backend server of `host` ends at once; another start of it follows.
+        """Crash the backend server of `host` and restart it later as a new instance.
 
-        One that is down already ends no second time: two requests may end it in one
-        turn of the loop.
+        Nothing happens if the server is down already: two requests may crash it in the
+        same iteration of the event loop.
         """
         if host.ip in self._restarts:
             return
@@ -271,13 +284,13 @@
         await host.instance.crash()
         await asyncio.sleep(self.down_seconds)
         self.withdraw(host)
-        host.instance.name = f"i-{next(_names):06x}"
+        host.instance.name = f"i-{next(_serial_numbers):06x}"
         await host.instance.start()
         await asyncio.sleep(self.unlisted_seconds)
         self.register(host)
 
     async def restore_store(self, copy, away_seconds=1.0):
-        """The store is away for a moment and comes back from `copy`."""
+        """Make the store unreachable for `away_seconds`, then restore it from `copy`."""
         for faults in self.store.faults.values():
             faults.cut = True
         await asyncio.sleep(away_seconds)
@@ -286,16 +299,16 @@
             faults.cut = False
 
     def write_boot(self, host):
-        """Write the start settings of `host`, as the platform does when they change."""
+        """Write the start settings file of `host`, as the platform does when they change."""
         host.node.boot_path.write_text(json.dumps(host.boot), encoding="utf-8")
 
     def start_node(self, host):
-        """Start the node of `host`, with its present settings."""
+        """Start the node of `host` with its current start settings."""
         self.write_boot(host)
         host.node.start()
 
     async def until_ready(self, host):
-        """Wait until the node says that it takes requests and knows all registered hosts."""
+        """Wait until the node of `host` reports ready and knows as many members as there are hosts."""
 
         async def condition():
             return await self.ready(host) and await self.member_count(host) >= len(self.hosts)
@@ -303,7 +316,7 @@
         await self.until(condition, f"{host.ip} ready")
 
     async def ready(self, host):
-        """Return whether the node says that it takes requests."""
+        """Return whether the readiness endpoint of the node answers 200."""
         try:
             reply = await request(host.boot["listen"]["ready"], "GET", READY_PATH)
         except OSError:
@@ -311,35 +324,54 @@
         return reply.code == 200
 
     async def member_count(self, host):
-        """Return how many hosts the node knows."""
+        """Return how many members the node of `host` knows."""
         reply = await request(self.metrics_address(host), "GET", "/members")
         return len(json.loads(reply.body)["members"])
 
     def metrics_address(self, host):
-        """Return where the node of `host` shows its counters."""
+        """Return the address at which the node of `host` serves its metrics."""
         return f"{host.ip}:{self._ports['metrics']}"
 
     async def until(self, condition, what, seconds=30.0):
-        """Wait until ``await condition()`` is true."""
+        """Wait until ``await condition()`` is true.
+
+        Raises
+        ------
+        CaperstackError
+            If it is still false after `seconds`; `what` names the condition in the message.
+        """
         limit = deadline_after(seconds)
         while not await condition():
             if now() > limit:
-                raise CaperstackError("did not come true in time", step="wait", peer=what)
+                raise CaperstackError("did not become true in time", step="wait", peer=what)
             await _pause()
 
     def keep_logs(self):
-        """Copy the output of all nodes to a folder that stays; return its path."""
+        """Copy the output of all nodes to a directory that is not deleted, and return its path."""
         kept = tempfile.mkdtemp(prefix="caperstack-kept-")
         return shutil.copytree(self._directory.name, kept, dirs_exist_ok=True)
 
     def new_request_id(self):
-        """Return an id for a request."""
-        return f"{next(_names):016x}"
+        """Return a request id that has not been used yet."""
+        return f"{next(_serial_numbers):016x}"
 
     async def ask(
         self, host, path, method="GET", milliseconds=3000, body=b"", name=None, **headers
     ):
-        """Send a request through the node of `host`; return its id and tornado's response."""
+        """Send a request through the node of `host`.
+
+        Parameters
+        ----------
+        milliseconds : int
+            The time left, as the caller states it in its header.
+        name : str, optional
+            The request id; a new one by default.
+
+        Returns
+        -------
+        tuple of (str, tornado.httpclient.HTTPResponse)
+            The request id and the response.
+        """
         name = name or self.new_request_id()
         sent = {
             "Host": "x.example",
@@ -349,7 +381,7 @@
         return name, await request(host.outbound, method, path, sent | headers, body)
 
     def runs(self, name):
-        """Return how often the request `name` ran, on all backend servers together."""
+        """Return how often the request with the id `name` ran, over all backend servers."""
         return sum(host.instance.runs[name] for host in self.hosts)
 
 
