--- a/caperstack/platform/standin/fleet.py
+++ b/caperstack/platform/standin/fleet.py
@@ -308,7 +308,7 @@
         host.node.start()
 
     async def until_ready(self, host):
-        """Wait until the node of `host` reports ready and knows as many members as there are hosts."""
+        """Wait until the node of `host` is ready and knows as many members as there are hosts."""
 
         async def condition():
             return await self.ready(host) and await self.member_count(host) >= len(self.hosts)
--- a/caperstack/platform/standin/instance.py
+++ b/caperstack/platform/standin/instance.py
@@ -1,4 +1,4 @@
-"""A stand-in for a backend server of the platform: slots, load header, refusals, a ledger."""
+"""A stand-in for a backend server of the platform, with faults that tests switch on and off."""
 
 import asyncio
 import itertools
@@ -16,37 +16,42 @@
 
 @dataclass
 class Behaviour:
-    """How the server behaves; a test changes it at any time.
+    """How the server behaves; tests change the fields at any time.
 
     Attributes
     ----------
     seconds : float
-        How long work takes, before the pace.
+        How long a request runs, before `pace` is applied.
     pace : float
-        How many times longer work takes that starts now; told in the load header.
+        Slowdown: the factor by which requests that start now run longer. The load header
+        reports it as a percentage.
     status : int
-        Of answers to requests that ran.
+        Status code of the responses to requests that ran.
     refuse : bool
-        Answer 503 with the mark that the request was not run.
+        Answer 503 with the header that says that the request was not executed.
     lose_answers : bool
-        Run each request, then reset the connection.
+        Run each request, then close the connection without a response.
     extra_answers : bool
-        Send each answer twice.
+        Send a second response after each response.
     unframed : str
-        Answers without a length: ``"whole"`` end with a close, ``"reset"`` in
-        the middle with a reset.
+        Send responses without a length. With ``"whole"`` the connection is closed after
+        the body, with ``"reset"`` it is reset in the middle of the body.
     healthy : bool
-        What the health path says.
+        Whether the health path answers 200 or 503.
     fatal : frozenset of str
-        Targets that end the server, when their work has lasted ``fatal_seconds``.
+        Request targets that crash the server once they have run for `fatal_seconds`.
     fatal_seconds : float
-        Work until then, before the pace.
+        How long a fatal request runs, before `pace` is applied.
     cold_since, cold_until : float
-        Between these points the server is cold; its health path tells for how long.
+        The period in which the server is cold, in the time of `caperstack.clock.now`. The
+        health path reports the milliseconds that are left of it.
     cold_text : str
-        Told in place of that, if not empty.
+        Reported in place of these milliseconds, if not empty.
     cold_bears : float
-        Requests in a second that end the server while it is cold, if there are more.
+        Requests per second that the server tolerates while it is cold; more crash it.
+        0 for no limit.
+    body : bytes
+        Body of the responses to requests that ran.
     """
 
     seconds: float = 0.0
@@ -68,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A request that ran: when it began, at which instance of which service."""
+    """A request that ran: its id and target, when it started, and where."""
 
     name: str
     at: float
@@ -79,26 +84,30 @@
 
 @dataclass
 class StandinInstance:
-    """One backend server, known by the name of its present instance.
+    """One backend server, registered under the name of its current instance.
 
     Attributes
     ----------
     runs : Counter
         How often each request id ran.
     ledger : list of Run
-        Every run, in order.
+        Every request that ran, in the order of their starts.
     seen : list of dict
         The headers of each request that ran, with its method, target and body.
     born_ms : int
-        When it started, in milliseconds since 1970.
+        Start time of this run of the server, in milliseconds since 1970.
     cancelled : int
         Requests whose connection closed while they ran.
     misdirected : int
-        Requests that were meant for another instance.
+        Requests that named another instance; they were answered 421.
     overloaded : int
-        How often it ended since it was cold and got more than it bears.
+        How often the server crashed because it was cold and got more requests than
+        ``behaviour.cold_bears``.
+    running : int
+        Requests that run now.
     on_crash : callable
-        Called with the instance and the target when a request has ended it.
+        Called with the instance and the target when a request crashes the server; the
+        target is empty when the crash is due to overload.
     """
 
     address: str
@@ -117,7 +126,7 @@
     on_crash: object = None
 
     async def start(self):
-        """Listen."""
+        """Listen at the address."""
         self._tasks = set()
         self._server = HTTPServer(self._accept, idle_connection_timeout=3600)
         ip, port = self.address.rsplit(":", 1)
@@ -129,19 +138,19 @@
         await self._server.close_all_connections()
 
     async def crash(self):
-        """End at once, with all that it runs."""
+        """Stop at once and cancel all running requests."""
         for task in list(self._tasks):
             task.cancel()
         await self.stop()
 
     async def restart(self):
-        """End with all that it runs, and start again under the same name."""
+        """Crash and start again under the same instance name, with a later start time."""
         await self.crash()
         self.born_ms += 1000
         await self.start()
 
     def entry(self, zone, state="ready"):
-        """Return the document under which the server registers itself."""
+        """Return the document with which the server registers itself in the store."""
         return {
             "address": self.address,
             "info": {"service": self.service, "version": "v1", "zone": zone, "slots": self.slots},
@@ -197,7 +206,7 @@
             self._answer(request)
 
     def _is_overloaded(self):
-        """Return whether the server got more in a second than it bears, cold all the while."""
+        """Return whether the cold server got more requests in the last second than it tolerates."""
         if now() >= self.behaviour.cold_until or not self.behaviour.cold_bears:
             return False
         return (
@@ -205,7 +214,7 @@
         )
 
     def runs_since(self, since):
-        """Return how many requests this instance ran since that point."""
+        """Return how many requests this instance started to run after the time `since`."""
         recent = itertools.takewhile(lambda run: run.at > since, reversed(self.ledger))
         return sum(1 for run in recent if run.instance == self.name)
 
@@ -251,5 +260,6 @@
 
 
 def _reset_on_close(sock):
-    # A linger time of zero makes the close a reset.
+    # Closing a socket with a linger time of zero sends a reset. 1 and 13 are SOL_SOCKET and
+    # SO_LINGER on Linux.
     sock.setsockopt(1, 13, b"\x01\x00\x00\x00\x00\x00\x00\x00")
--- a/caperstack/platform/standin/modelstore.py
+++ b/caperstack/platform/standin/modelstore.py
@@ -1,4 +1,4 @@
-"""The platform's store in a play: items with revisions, read without a network."""
+"""The platform's store in a simulation: items with revisions, read without a network."""
 
 import asyncio
 import contextlib
@@ -14,20 +14,22 @@
 
 __all__ = ["ModelStore"]
 
-#: What one call takes, in seconds, and how many items one answers.
+#: Duration of one call in seconds, and the number of items in one page.
 CALL_SECONDS = 0.004
 PAGE_ITEMS = 500
 
 
 class ModelStore:
-    """The items, with revisions.
+    """Items with revisions, in memory.
 
     Attributes
     ----------
     calls : int
-        Calls so far, a page each.
+        Calls so far; each page of a read counts as one.
+    revision : int
+        Revision of the last write.
     era : int
-        How often the store came back from a copy.
+        How often the store was restored from a copy.
     """
 
     def __init__(self):
@@ -38,7 +40,7 @@
         self.calls = 0
 
     def put(self, key, document):
-        """Write an item."""
+        """Write an item as JSON."""
         self.revision += 1
         created = self._items[key].created if key in self._items else self.revision
         value = msgspec.json.encode(document)
@@ -46,7 +48,7 @@
         self._wake_watches()
 
     def remove(self, key):
-        """Take an item away."""
+        """Delete an item."""
         self.revision += 1
         del self._items[key]
         self._wake_watches()
@@ -56,22 +58,25 @@
         self._changed = asyncio.Event()
 
     def copy(self):
-        """Return a copy of what the store holds now."""
+        """Return a copy of the current items and revision."""
         return StoreCopy(dict(self._items), self.revision)
 
     def restore_from(self, copy):
-        """Lose all that was written after `copy`; its revisions are given out again."""
+        """Restore the store from `copy`.
+
+        Later writes are lost and their revision numbers are assigned again.
+        """
         self.era += 1
         self._items = dict(copy.items)
         self.revision = copy.revision
         self._wake_watches()
 
     def client(self):
-        """Return what a node reads with."""
+        """Return a client with which a node reads the store."""
         return _Client(self)
 
     async def until_changed(self, limit):
-        """Wait for the next write, until the point `limit` at most."""
+        """Wait for the next write, at most until the time `limit`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(limit):
                 await self._changed.wait()
@@ -90,7 +95,7 @@
         self._store = store
 
     def close(self):
-        """Nothing is open."""
+        """Do nothing: there is no connection to close."""
 
     async def read(self, prefix, stale=False):
         """Return the `StoreRead` of all items under a prefix."""
@@ -102,7 +107,20 @@
         return StoreRead(items, revision)
 
     async def watch(self, prefix, after, wait_until):
-        """Return the `StoreChanges` under a prefix, deletions left out."""
+        """Return the `StoreChanges` under a prefix after a revision, without deletions.
+
+        Parameters
+        ----------
+        wait_until : float
+            When to return without changes.
+
+        Raises
+        ------
+        PlatformError
+            If the store was restored during the call.
+        HistoryError
+            If `after` is not a revision of the store in its current era.
+        """
         self._store.calls += 1
         await asyncio.sleep(CALL_SECONDS)
         era = self._store.era
--- a/caperstack/platform/standin/store.py
+++ b/caperstack/platform/standin/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store: items with revisions, pages, outages on command."""
+"""A stand-in for the platform's store: paged reads, long-poll watches, and faults on demand."""
 
 import asyncio
 import base64
@@ -20,18 +20,18 @@
 
 
 class StoreFaults:
-    """What ails the store, for the readers at one of its addresses.
+    """Faults of the store for the readers at one of its addresses.
 
     Attributes
     ----------
     status : int
-        Answered to every call, if not 0.
+        Status code with which every call is refused, if not 0.
     silent : bool
-        Calls get no answer at all.
+        Calls are never answered.
     cut : bool
-        The connection is closed in place of an answer.
+        The connection is closed instead of a response.
     delay_seconds : float
-        Answers wait so long.
+        Delay of each response.
     """
 
     def __init__(self):
@@ -43,27 +43,29 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreCopy:
-    """What the store held at a revision, from which it may come back."""
+    """The items of the store at a revision, from which it can be restored."""
 
     items: dict
     revision: int
 
 
 class StandinStore:
-    """One set of items, served at several addresses, so that some readers can be refused.
+    """One set of items, served at several addresses so that faults can affect some readers only.
 
     Attributes
     ----------
     calls : int
-        Calls that came, refused ones included.
+        Calls received, including those that failed.
     served : int
-        Calls that were answered with items.
+        Range reads that were answered with items.
     watching : int
-        Calls that wait for a change now.
-    faults : dict of str to StoreTroubles
-        By address.
+        Long-poll watches that wait for a change now.
+    faults : dict of str to StoreFaults
+        The faults by address.
     era : int
-        How often the store came back from a copy.
+        How often the store was restored from a copy.
+    history_since : int
+        The revision since which changes are kept; watches from before it are answered 410.
     """
 
     def __init__(self, addresses, page_items=PAGE_ITEMS):
@@ -98,7 +100,7 @@
             await server.close_all_connections()
 
     def put(self, key, document):
-        """Write an item, as operators and backend servers do; return its revision."""
+        """Write an item as JSON, as operators and backend servers do, and return its revision."""
         return self._put_value(key, base64.b64encode(json.dumps(document).encode()).decode())
 
     def _put_value(self, key, value):
@@ -115,22 +117,25 @@
         return self._revision
 
     def put_raw(self, key, data):
-        """Write bytes that are no document."""
+        """Write an item whose value is `data`, which need not be valid JSON."""
         self.put(key, None)
         self._items[key]["value"] = base64.b64encode(data).decode()
 
     def remove(self, key):
-        """Take an item away."""
+        """Delete an item."""
         self._revision += 1
         self._items.pop(key, None)
         self._note({"key": key, "revision": self._revision, "deleted": True})
 
     def copy(self):
-        """Return a copy of what the store holds now."""
+        """Return a copy of the current items and revision."""
         return StoreCopy(dict(self._items), self._revision)
 
     def restore_from(self, copy):
-        """Lose all that was written after `copy`; its revisions are given out again."""
+        """Restore the store from `copy`.
+
+        Later writes are lost and their revision numbers are assigned again.
+        """
         self.era += 1
         self._lost = self._items
         self._copy = copy.items
@@ -140,7 +145,7 @@
         self._wake_watches()
 
     def rewrite_lost(self):
-        """Write what was lost again, unless another write has come to its key."""
+        """Write lost changes again, except for keys written since the restore."""
         for key in sorted(self._lost.keys() | self._copy.keys()):
             lost, copied = self._lost.get(key), self._copy.get(key)
             if lost is copied or self._items.get(key) is not copied:
@@ -160,7 +165,7 @@
         self._changed = asyncio.Event()
 
     def drop_history(self):
-        """Forget all changes so far: watches are cut, and older ones can't go on."""
+        """Drop all changes so far: watches from earlier revisions are answered 410."""
         self.history_since = self._revision
         self._changes.clear()
         self._wake_watches()
@@ -219,7 +224,7 @@
         era = self.era
         while True:
             if era != self.era:
-                # The connections of the store that was lost are lost with it.
+                # The store was restored meanwhile: connections to the lost one are closed.
                 return 0, None
             if after < self.history_since or after > self._revision:
                 return 410, {"error": "history is gone"}
