--- a/caperstack/platform/standin/simulation.py
+++ b/caperstack/platform/standin/simulation.py
@@ -1,4 +1,4 @@
-"""A fleet's own traffic in virtual time: what nodes send each other without a call."""
+"""A simulated fleet in virtual time, to measure the traffic among nodes that no call causes."""
 
 import asyncio
 import random
@@ -29,71 +29,71 @@
 
 __all__ = ["SERVICES", "Node", "SimulatedFleet", "Traffic"]
 
-#: The layout of a large fleet: its zones and services, hosts in turn.
+#: Zones and services of the fleet; hosts are assigned to them round-robin.
 ZONES = ("a", "b", "c", "d", "e")
 SERVICES = ("listings", "bookings", "courses")
 REGION = "r"
 PEER_PORT = 7600
 
-#: One way between hosts of a zone and of two zones, in seconds.
+#: One-way network delay between hosts of one zone and of two zones, in seconds.
 SAME_ZONE_SECONDS = 0.0001
 CROSS_ZONE_SECONDS = 0.0009
 
-#: What a packet's headers add to each message, in bytes (IPv4 and TCP).
+#: Bytes that the IPv4 and TCP headers add to each message.
 PACKET_BYTES = 40
 
 
 @dataclass(slots=True)
 class Traffic:
-    """What nodes sent each other: messages and bytes by kind, and bytes between zones."""
+    """Messages and bytes that nodes sent each other, by kind, and the bytes sent between zones."""
 
     messages_by_kind: Counter = field(default_factory=Counter)
     bytes_by_kind: Counter = field(default_factory=Counter)
     cross_zone_bytes: int = 0
 
-    def add(self, kind, size, far):
-        """Count a message of that kind."""
+    def add(self, kind, size, cross_zone):
+        """Count a message of a kind with `size` bytes, headers of the packet excluded."""
         self.messages_by_kind[kind] += 1
         self.bytes_by_kind[kind] += size + PACKET_BYTES
-        self.cross_zone_bytes += (size + PACKET_BYTES) * far
+        self.cross_zone_bytes += (size + PACKET_BYTES) * cross_zone
 
     @property
     def total_bytes(self):
-        """The bytes of all messages."""
+        """The bytes of all messages, packet headers included."""
         return sum(self.bytes_by_kind.values())
 
 
 class _NullService:
-    """Events, links and ports that do nothing."""
+    """Stands in for the events, links and peer port, and does nothing."""
 
     def state(self, *_arguments, **_fields):
-        """Tell nobody."""
+        """Discard the event."""
 
     def belief(self, *_arguments, **_fields):
-        """Tell nobody."""
+        """Discard the event."""
 
     def hook(self, _hook):
-        """Connections are made by the fleet."""
+        """Ignore the hook: the simulated fleet calls the hooks of its nodes."""
 
 
 class _NullOwner:
-    """An owner that is told of its backend server and does nothing."""
+    """Stands in for the owner of a backend server, and does nothing."""
 
     def set_listed(self, listed):
-        """Nothing waits."""
+        """Ignore whether the server is listed: no call is queued."""
 
     def assign(self, instance, service, born_ms=0):
-        """Nothing runs."""
+        """Ignore the instance: no call runs on it."""
 
     def resize(self, slots):
-        """Nothing waits."""
+        """Ignore the number of slots: no call is queued."""
 
     def set_cold_limit(self, per_second, cold_seconds):
-        """Nothing starts."""
+        """Ignore the limit: no call is dispatched."""
 
 
 class _SimulatedConnection:
-    """One node's end of a connection."""
+    """The sender's end of a simulated connection between two nodes."""
 
     def __init__(self, fleet, sender, receiver):
         self._fleet = fleet
@@ -106,17 +106,19 @@
         self.closed = False
 
     def send(self, message, body=b""):
-        """Deliver the message after the time of the way."""
-        far = self._sender.here.zone != self._receiver.here.zone
+        """Deliver the message after the network delay and the read delay of the receiver."""
+        cross_zone = self._sender.here.zone != self._receiver.here.zone
         size = len(encode_frame(message, body))
-        self._fleet.traffic.add(type(message).__name__, size, far)
-        way = (CROSS_ZONE_SECONDS if far else SAME_ZONE_SECONDS) + self._fleet.draw_read_delay()
+        self._fleet.traffic.add(type(message).__name__, size, cross_zone)
+        delay = (
+            CROSS_ZONE_SECONDS if cross_zone else SAME_ZONE_SECONDS
+        ) + self._fleet.draw_read_delay()
         # Messages of one connection arrive in order.
-        self._delivered_at = max(self._delivered_at, now() + way)
+        self._delivered_at = max(self._delivered_at, now() + delay)
         asyncio.get_running_loop().call_at(self._delivered_at, self._deliver, message, body)
 
     async def send_whole(self, message, body):
-        """Deliver a message with a long body."""
+        """Deliver a message with a long body in one piece."""
         self.send(message, body)
 
     def _deliver(self, message, body):
@@ -128,7 +130,7 @@
 
 
 class _SimulatedLink:
-    """The way to a member: connected when it is touched."""
+    """The link to a member, which connects when it is first touched."""
 
     def __init__(self, fleet, node, host):
         self._fleet = fleet
@@ -138,11 +140,11 @@
 
     @property
     def usable(self):
-        """Whether the member is there."""
+        """Whether the node of the member runs."""
         return self._fleet.is_running(self._host)
 
     def touch(self):
-        """Connect, once."""
+        """Connect, unless that was started before or the node of the member does not run."""
         if not self._connected and self.usable:
             self._connected = True
             asyncio.get_running_loop().call_later(
@@ -151,7 +153,7 @@
 
 
 class Node:
-    """A node's settings, membership and reader; no call goes through it."""
+    """The settings, membership, suspects and store reader of a node, without calls."""
 
     def __init__(self, fleet, host, zone, service):
         backend = Backend(f"{host}:8000", service, 8, 1.0, 1)
@@ -187,11 +189,11 @@
         }
 
     def find(self, name):
-        """Return the service of that name."""
+        """Return the service registered under `name`, as the kernel does."""
         return self._services[name]
 
     async def start(self):
-        """Start with no memory."""
+        """Start all services, with no settings held from before."""
         await self.settings.start(self)
         await self.members.start(self)
         self.members.listen(self._on_member)
@@ -200,7 +202,7 @@
         await self.watch.start(self)
 
     async def stop(self):
-        """Stop as a kill does."""
+        """Stop the services without telling the peers, as a kill does."""
         for service in (self.reader, self.watch, self.sync):
             await service.stop()
 
@@ -210,19 +212,19 @@
 
 
 class SimulatedFleet:
-    """Nodes of one fleet, with the real settings and membership code, in one process.
+    """Simulated nodes in one process, with the real settings, membership and quarantine code.
 
     Parameters
     ----------
     size : int
-        How many hosts.
+        Number of hosts.
 
     Attributes
     ----------
     traffic : Traffic
-        What was sent since `measure` was called last.
+        What was sent since the last call of `measure`, or since the start.
     mean_read_delay_seconds : float
-        How long a message waits on average until a busy node reads it.
+        Mean time for which a message waits until its receiver reads it; 0 for idle nodes.
     """
 
     def __init__(self, size):
@@ -242,7 +244,7 @@
 
     @property
     def places(self):
-        """``(host, zone, service)`` of each host."""
+        """The ``(host, zone, service)`` of each host."""
         return self._places
 
     @property
@@ -251,17 +253,17 @@
         return list(self._nodes.values())
 
     def register(self, host, zone, service, state="ready", slots=8):
-        """Write the entry of the backend server at `host`."""
+        """Write the store entry of the backend server at `host`."""
         name = f"i-{host}"
         server = StandinInstance(f"{host}:8000", service, name, slots)
         self.store.put(f"{SERVERS_PREFIX}{name}", server.entry(zone, state))
 
     def withdraw(self, host):
-        """Take the entry of the backend server at `host` away."""
+        """Remove the store entry of the backend server at `host`."""
         self.store.remove(f"{SERVERS_PREFIX}i-{host}")
 
     def drain(self, number):
-        """The backend server of that number drains."""
+        """Let the backend server of the host with that number drain."""
         self.register(*self._places[number], state="draining")
 
     async def start(self):
@@ -270,7 +272,7 @@
         await asyncio.gather(*(node.start() for node in self.nodes))
 
     async def start_node(self, host):
-        """Start the node at `host`, which does not run."""
+        """Start a new node at `host`, where none runs."""
         place = next(place for place in self._places if place[0] == host)
         self._nodes[host] = Node(self, *place)
         await self._nodes[host].start()
@@ -282,15 +284,15 @@
             await node.stop()
 
     def is_running(self, host):
-        """Return whether a node runs there."""
+        """Return whether a node runs at `host`."""
         return host in self._nodes
 
     def is_current(self, node):
-        """Return whether that start of a node has not been killed."""
+        """Return whether `node` runs and was not replaced by a later start at its host."""
         return self._nodes.get(node.here.host) is node
 
     def draw_read_delay(self):
-        """Return how long the next message waits until its receiver reads it."""
+        """Return a random delay until the next message is read, exponentially distributed."""
         return (
             random.expovariate(1 / self.mean_read_delay_seconds)
             if self.mean_read_delay_seconds
@@ -298,7 +300,7 @@
         )
 
     async def kill(self, host):
-        """Kill a node; its peers see their connections close."""
+        """Kill the node at `host` and close the connections that its peers have to it."""
         node = self._nodes.pop(host)
         await node.stop()
         for peer in self.nodes:
@@ -310,28 +312,28 @@
                     hook.closed(host)
 
     def connect(self, node, host):
-        """Join a node with another one."""
+        """Connect `node` with the node at `host`, if both still run."""
         other = self._nodes.get(host)
         if other is None or self._nodes.get(node.here.host) is not node:
             return
-        there, back = _SimulatedConnection(self, node, other), _SimulatedConnection(
+        outgoing, incoming = _SimulatedConnection(self, node, other), _SimulatedConnection(
             self, other, node
         )
-        there.other, back.other = back, there
+        outgoing.other, incoming.other = incoming, outgoing
         for hook in node.hooks:
-            hook.opened(host, there)
+            hook.opened(host, outgoing)
         for hook in other.hooks:
-            hook.opened(node.here.host, back)
+            hook.opened(node.here.host, incoming)
 
     async def measure(self, seconds):
-        """Return the `Traffic` of the next `seconds`, and how often the store was read."""
+        """Return the `Traffic` of the next `seconds` and the number of store calls in them."""
         self.traffic = Traffic()
         calls = self.store.calls
         await asyncio.sleep(seconds)
         return self.traffic, self.store.calls - calls
 
     def has_converged(self):
-        """Return whether all nodes hold the same, and all of the store."""
+        """Return whether all nodes hold the same revisions, up to the newest of the store."""
         digests = {msgspec.json.encode(node.settings.revisions) for node in self.nodes}
         return len(digests) == 1 and self._newest_held() == self.store.revision
 
