--- a/caperstack/platform/tests/test_fleet.py
+++ b/caperstack/platform/tests/test_fleet.py
@@ -74,13 +74,13 @@
     def hosts(self):
         return sorted(member.host for member in self.members.all())
 
-    async def test_entry_that_goes_takes_its_host_along(self):
+    async def test_removed_entry_removes_its_member(self):
         await self.put("i2", document("10.0.0.2"))
         self.assertEqual(self.hosts(), ["10.0.0.1", "10.0.0.2"])
         await self.put("i2", None)
         self.assertEqual(self.hosts(), ["10.0.0.1"])
 
-    async def test_address_that_is_used_again_is_of_the_later_start(self):
+    async def test_reused_address_belongs_to_the_entry_with_the_later_start(self):
         # A backend server ends and its address goes to one of another service
         # while the old entry lies there still; when that goes, the new one stays.
         await self.put("old", document("10.0.0.2"))
@@ -91,18 +91,18 @@
         await self.put("old", None)
         self.assertEqual(self.members.find("10.0.0.2").service, "t")
 
-    async def test_later_start_that_goes_gives_the_address_back(self):
+    async def test_address_reverts_to_the_older_entry_when_the_newer_one_is_removed(self):
         await self.put("old", document("10.0.0.2"))
         await self.put("new", document("10.0.0.2", service="t", born_ms=9))
         await self.put("new", None)
         self.assertEqual(self.members.find("10.0.0.2").service, "s")
 
-    async def test_entry_that_moves_leaves_its_former_host(self):
+    async def test_entry_with_a_new_address_removes_the_member_at_the_old_one(self):
         await self.put("i2", document("10.0.0.2"))
         await self.put("i2", document("10.0.0.3", born_ms=9))
         self.assertEqual(self.hosts(), ["10.0.0.1", "10.0.0.3"])
 
-    async def test_service_that_is_not_configured_names_no_host_until_it_is(self):
+    async def test_entry_of_an_unconfigured_service_is_no_member_until_it_is_configured(self):
         self.take(CONFIGURATION_KEY, configuration("s"))
         await self.put("i2", document("10.0.0.2", service="t"))
         await self.put("i2", document("10.0.0.2", service="t", slots=9))
@@ -113,7 +113,7 @@
         await asyncio.sleep(0)
         self.assertEqual(self.hosts(), ["10.0.0.1", "10.0.0.2"])
 
-    async def test_cold_limit_comes_from_the_configuration_and_the_bound(self):
+    async def test_cold_limit_is_computed_from_the_configuration_and_the_bound(self):
         limits = configuration("s")
         limits["services"] = {
             "columns": ["name", "healthPath", "maxConnections", "cold", "coldPerS"],
@@ -123,7 +123,7 @@
         await self.put("i1", document("10.0.0.1"))
         self.owner.set_cold_limit.assert_called_with(17.75, 3.0)
 
-    async def test_services_without_a_cold_rate_have_no_limit(self):
+    async def test_service_without_a_cold_rate_has_no_cold_limit(self):
         """Deployments that name no rate, or 0, are limited as if their servers bore nothing."""
         for rate in (None, 0):
             limits = configuration("s")
@@ -133,7 +133,7 @@
             await self.put("i1", document("10.0.0.1"))
             self.owner.set_cold_limit.assert_called_with(0.0, 0.0)
 
-    async def test_own_entry_that_goes_closes_the_owner(self):
+    async def test_removal_of_the_own_entry_unlists_the_owner(self):
         await self.put("i1", document("10.0.0.1"))
         self.owner.assign.assert_called_once_with("i1", "s", 5)
         self.owner.set_listed.assert_called_with(False)
--- a/caperstack/platform/tests/test_growth.py
+++ b/caperstack/platform/tests/test_growth.py
@@ -16,7 +16,7 @@
 SIZES = (30, 100, 300)
 
 
-async def _grown(size):
+async def _measure_bytes_per_node(size):
     """Return bytes a node for a start of all, one change, twenty, and another start of all."""
     random.seed(size)
     fleet = SimulatedFleet(size)
@@ -48,42 +48,42 @@
 
 
 @functools.cache
-def grown(size):
+def bytes_per_node(size):
     """Return the bytes a node by what happened, of a fleet of that size."""
-    return run_virtual(lambda: _grown(size))
+    return run_virtual(lambda: _measure_bytes_per_node(size))
 
 
-class TestBytes(unittest.TestCase):
+class TestBytesPerNode(unittest.TestCase):
     """What a node sends does not grow with the fleet."""
 
-    def assert_flat(self, what, factor):
-        figures = [grown(size)[what] for size in SIZES]
+    def assert_independent_of_size(self, what, factor):
+        figures = [bytes_per_node(size)[what] for size in SIZES]
         self.assertLess(max(figures) / min(figures), factor, figures)
 
-    def test_one_change(self):
+    def test_bytes_of_one_change_do_not_grow_with_the_fleet(self):
         # Bytes a node at 30, 100, 300 hosts: 3,010, 3,210 and 4,650 where each
         # difference is answered by all revisions, 2,490, 2,240 and 2,290 by buckets.
-        self.assert_flat("change", 1.25)
+        self.assert_independent_of_size("change", 1.25)
 
-    def test_twenty_changes_at_once(self):
+    def test_bytes_of_twenty_changes_at_once_grow_little_with_the_fleet(self):
         # At 100 hosts 19,060 bytes a node with a message for each change, 7,360
         # with one for those of a turn; 6,560 at 30 and 9,580 at 300.  What still
         # grows are the revisions in the buckets that differ.
-        self.assert_flat("twenty changes", 1.6)
-        self.assertLess(grown(100)["twenty changes"], 9000)
+        self.assert_independent_of_size("twenty changes", 1.6)
+        self.assertLess(bytes_per_node(100)["twenty changes"], 9000)
 
-    def test_start_of_all(self):
-        self.assert_flat("start", 1.25)
-        self.assert_flat("start again", 1.25)
+    def test_bytes_of_a_start_of_all_nodes_do_not_grow_with_the_fleet(self):
+        self.assert_independent_of_size("start", 1.25)
+        self.assert_independent_of_size("start again", 1.25)
 
 
-class TestWork(unittest.IsolatedAsyncioTestCase):
+class TestFunctionCallsPerChange(unittest.IsolatedAsyncioTestCase):
     """What one node does for one change, in function calls."""
 
-    async def steps_of_a_change(self, size):
+    async def function_calls_of_a_change(self, size):
         fleet = SimulatedFleet(size)
         node = Node(fleet, *fleet.places[0])
-        node.reader.start = _nothing
+        node.reader.start = _skip_start
         # All peers can be reached, so that two parents are enough.
         fleet.is_running = lambda _host: True
         await node.start()
@@ -116,16 +116,16 @@
         self.assertLessEqual(len(dispatcher.candidates.subset(service)), SUBSET)
         return steps["call"] + steps["c_call"]
 
-    async def test_it_does_not_grow_with_the_fleet(self):
+    async def test_function_calls_of_a_change_do_not_grow_with_the_fleet(self):
         # A release drains and replaces each of n backend servers; a node whose
         # work for each is as the fleet's size does the square of it.  Function
         # calls at 20, 200 and 1,100 members: 4,180, 31,500 and 167,000 with whole
         # lists, 1,450 to 1,580 with what changed alone.
-        steps = [await self.steps_of_a_change(size) for size in (20, 200, 1100)]
+        steps = [await self.function_calls_of_a_change(size) for size in (20, 200, 1100)]
         self.assertLess(max(steps) / min(steps), 2.0, steps)
 
 
-async def _nothing(_kernel):
+async def _skip_start(_kernel):
     """Read nothing."""
 
 
--- a/caperstack/platform/tests/test_overload.py
+++ b/caperstack/platform/tests/test_overload.py
@@ -6,12 +6,12 @@
 from caperstack.platform.tests.fleetcase import FleetCase
 
 
-class TestWithoutRepeats(FleetCase):
+class TestWithoutRetries(FleetCase):
     """Nodes that may not send anything a second time."""
 
     bounds = {"retryBudgetRatio": 0.0, "budgetMinRetries": 0}
 
-    async def test_server_that_lost_an_answer_gets_calls_again(self):
+    async def test_server_that_lost_a_response_gets_calls_again(self):
         """One lost answer, with no repeat to spend, and a sound server stays idle for good."""
         self.first.instance.behaviour.lose_answers = True
 
@@ -45,7 +45,7 @@
         ]
         return sum(float(value) for value in found)
 
-    async def test_bodies_go_where_their_calls_run(self):
+    async def test_bodies_are_sent_only_to_owners_that_run_the_call(self):
         """Each refused offer carries the body, and the link of a full host is busy with them.
 
         Bookings of 8 kB, five times as many as there are slots for.
--- a/caperstack/platform/tests/test_path.py
+++ b/caperstack/platform/tests/test_path.py
@@ -11,13 +11,13 @@
 from caperstack.platform.tests.fleetcase import FleetCase
 
 #: What a node says of a backend server whose entry drains, or does not any more.
-MARK = "listed as leaving"
+LISTED_AS_LEAVING = "listed as leaving"
 
 
 class TestPath(FleetCase):
     """What callers and backend servers see on a calm day."""
 
-    async def test_answers_pass_unchanged_through_every_node(self):
+    async def test_responses_are_passed_on_unchanged_by_every_node(self):
         for host in self.fleet.hosts:
             for method, path in (("GET", "/list/a?b=c"), ("POST", "/book/x"), ("GET", "/rates/")):
                 name, reply = await self.fleet.ask(host, path, method, body=b"" * 3)
@@ -26,7 +26,7 @@
                 self.assertEqual(reply.headers[DIALECT.request_id], name)
                 self.assertEqual(self.fleet.runs(name), 1)
 
-    async def test_backend_server_gets_the_request_and_what_the_node_adds(self):
+    async def test_backend_server_gets_the_request_with_headers_of_the_node(self):
         # A caller claims to be another service; the backend server is told
         # where the request really began, whom it is for and what time is left.
         await self.fleet.ask(
@@ -42,19 +42,19 @@
         self.assertLessEqual(int(seen[DIALECT.time_left]), 2000)
         self.assertGreater(int(seen[DIALECT.time_left]), 1000)
 
-    async def test_routes_go_by_host_and_by_whole_prefix(self):
+    async def test_routes_match_the_authority_and_the_whole_prefix(self):
         for path, headers in (("/nowhere/", {}), ("/list", {}), ("/list/", {"Host": "y.example"})):
             _, reply = await self.fleet.ask(self.first, path, **headers)
             self.assertEqual(reply.code, 404)
 
-    async def test_route_timeout_is_answered_when_it_is_over(self):
+    async def test_route_timeout_is_answered_with_504(self):
         self.first.instance.behaviour.seconds = self.second.instance.behaviour.seconds = 5.0
         began = now()
         _, reply = await self.fleet.ask(self.third, "/short/", milliseconds=3000)
         self.assertEqual(reply.code, 504, reply.body)
         self.assertLess(now() - began, 1.5)
 
-    async def test_caller_that_leaves_ends_the_work(self):
+    async def test_disconnected_caller_cancels_its_request(self):
         # A golfer hangs up while a listing runs on another host; the backend
         # server must not work on for nobody.
         self.first.instance.behaviour.seconds = self.second.instance.behaviour.seconds = 30.0
@@ -77,15 +77,15 @@
 
     async def test_draining_server_gets_no_new_work(self):
         self.fleet.register(self.first, "draining")
-        await self.until(self.listed(self.first, leaving=True), "the mark is known")
-        await self.assert_left_alone(self.first, 30)
+        await self.until(self.is_listed_as(self.first, leaving=True), "the mark is known")
+        await self.assert_gets_no_calls(self.first, 30)
 
-    async def test_server_whose_entry_is_gone_gets_no_new_work(self):
+    async def test_server_whose_entry_is_removed_gets_no_new_work(self):
         self.fleet.withdraw(self.first)
-        await self.until(self.unknown(self.first), "the entry's end is known")
-        await self.assert_left_alone(self.first, 30)
+        await self.until(self.is_removed(self.first), "the entry's end is known")
+        await self.assert_gets_no_calls(self.first, 30)
 
-    async def test_calls_end_in_peace_when_the_entry_is_gone(self):
+    async def test_running_calls_complete_when_the_entry_is_removed(self):
         # Both backend servers leave without a word: their entries vanish while
         # listings run there.  The entry must not close its links under them.
         for host in (self.first, self.second):
@@ -104,7 +104,7 @@
         await self.until(forgotten, "the entry has forgotten both hosts")
         self.assertEqual([reply.code for _, reply in await asyncio.gather(*asked)], [200] * 4)
 
-    async def assert_left_alone(self, host, count):
+    async def assert_gets_no_calls(self, host, count):
         """Assert that `count` listings in a row are answered and none runs at `host`."""
         before = sum(host.instance.runs.values())
         for _ in range(count):
@@ -112,7 +112,7 @@
             self.assertEqual(reply.code, 200)
         self.assertEqual(sum(host.instance.runs.values()), before)
 
-    def unknown(self, host):
+    def is_removed(self, host):
         """Return a condition: the third node has last told that `host` is absent."""
 
         async def condition():
@@ -122,7 +122,7 @@
 
         return condition
 
-    async def test_reused_address_runs_nothing_of_the_old_service(self):
+    async def test_reused_address_runs_no_requests_of_the_old_service(self):
         # A backend server ends and its address goes to one of another service
         # before any node has heard of it.  A booking that still goes there is
         # refused by the new one and runs on the other host.
@@ -133,13 +133,13 @@
             self.assertEqual(self.fleet.runs(name), 1 if reply.code == 200 else 0)
         self.assertEqual(sum(self.first.instance.runs.values()), 0)
 
-    async def test_server_that_starts_again_under_its_name_is_a_new_one(self):
+    async def test_server_restarted_under_its_name_is_a_new_one(self):
         # A backend server ends with a listing and a booking at work and starts
         # again under the same name; its old entry said that it drains.  The
         # listing runs again elsewhere, the booking is never told as not run, and
         # the new start gets work though the old one was leaving.
         self.fleet.register(self.second, "draining")
-        await self.until(self.listed(self.second, leaving=True), "both go to the first")
+        await self.until(self.is_listed_as(self.second, leaving=True), "both go to the first")
         self.first.instance.behaviour.seconds = 20.0
         asked = [
             asyncio.create_task(self.fleet.ask(self.third, path, method, 10_000, name=name))
@@ -154,8 +154,8 @@
         await self.until(running, "both run")
         self.fleet.register(self.first, "draining")
         self.fleet.register(self.second)
-        await self.until(self.listed(self.first, leaving=True), "the mark is known")
-        await self.until(self.listed(self.second, leaving=False), "the other is back")
+        await self.until(self.is_listed_as(self.first, leaving=True), "the mark is known")
+        await self.until(self.is_listed_as(self.second, leaving=False), "the other is back")
         self.first.instance.behaviour.seconds = 0.0
         await self.first.instance.restart()
         self.fleet.register(self.first)
@@ -171,7 +171,7 @@
 
         await self.until(works, "the new start gets work")
 
-    async def test_server_that_ended_gets_no_calls_until_its_next_start_is_listed(self):
+    async def test_crashed_server_gets_no_calls_until_its_restart_is_listed(self):
         # The only backend server of a service crashes; another start of it takes
         # its address and is listed a second later.  Calls that still name the first
         # one are turned away: each counts as a send, and the fleet's allowance for
@@ -191,14 +191,14 @@
 
         await self.until(works, "the next start gets work")
 
-    async def test_foreign_entry_in_the_place_of_a_good_one_names_no_server(self):
+    async def test_foreign_entry_that_overwrites_a_valid_one_removes_the_server(self):
         # Another writer puts bytes of its own where a backend server had
         # registered.  No call goes there until its next heartbeat; the other
         # servers go on.
         self.fleet.store.put_raw(f"servers/{self.first.instance.name}", b"\xffnothing")
         self.fleet.store.put("servers/i-odd", {"state": "ready"})
-        await self.until(self.unknown(self.first), "the entry names no server")
-        await self.assert_left_alone(self.first, 20)
+        await self.until(self.is_removed(self.first), "the entry names no server")
+        await self.assert_gets_no_calls(self.first, 20)
         told = [line for host in self.fleet.hosts for line in host.node.lines("foreign entry")]
         self.assertIn("servers/i-odd", [line["key"] for line in told])
         self.fleet.register(self.first)
@@ -210,20 +210,22 @@
 
         await self.until(works, "work again")
 
-    async def test_entry_of_a_service_that_nobody_configured_names_no_server(self):
+    async def test_entry_of_an_unconfigured_service_removes_the_server(self):
         self.first.instance.service = "nobody"
         self.fleet.register(self.first)
-        await self.until(self.unknown(self.first), "the entry names no server")
-        await self.assert_left_alone(self.first, 20)
+        await self.until(self.is_removed(self.first), "the entry names no server")
+        await self.assert_gets_no_calls(self.first, 20)
         _, reply = await self.fleet.ask(self.first, "/list/")
         self.assertEqual(reply.code, 200)
 
-    def listed(self, host, leaving):
+    def is_listed_as(self, host, leaving):
         """Return a condition: the third node has last told that `host` is leaving, or not."""
 
         async def condition():
             lines = self.third.node.lines("state")
-            told = [n["new"] for n in lines if (n["subject"], n["peer"]) == (MARK, host.ip)]
+            told = [
+                n["new"] for n in lines if (n["subject"], n["peer"]) == (LISTED_AS_LEAVING, host.ip)
+            ]
             return told[-1:] == [str(leaving)]
 
         return condition
@@ -236,7 +238,7 @@
 
         return condition
 
-    async def test_server_that_is_not_listed_gets_no_call_from_its_own_host(self):
+    async def test_unlisted_server_gets_no_call_from_its_own_host(self):
         # A host loses power; its backend server's address has gone to one of
         # another service, which has yet to register, and the old entry is gone.
         # The node beside it starts with the old service in its settings.  The
@@ -252,13 +254,13 @@
             self.assertEqual((reply.code, self.fleet.runs(name)), (200, 1))
         self.assertEqual(sum(self.first.instance.runs.values()), 0)
 
-    async def test_lost_answer_of_a_booking_runs_once_and_promises_nothing(self):
+    async def test_booking_with_a_lost_response_runs_once_and_is_answered_502(self):
         for host in (self.first, self.second):
             host.instance.behaviour.lose_answers = True
         name, reply = await self.fleet.ask(self.third, "/book/x", "POST")
         self.assertEqual((reply.code, self.fleet.runs(name)), (502, 1))
 
-    async def test_second_press_after_a_reset_is_told_apart_by_outcome_and_log(self):
+    async def test_repeated_booking_after_a_lost_response_has_its_own_outcome_and_log(self):
         # A desk presses "book"; the backend server holds the slot, and its
         # connection is reset before the answer.  The desk sees an error and
         # presses again.  The second press has an id of its own and is another
@@ -280,7 +282,7 @@
         }
         self.assertEqual((told[first], told[second]), ("unknown", "answered"))
 
-    async def test_lost_answer_of_a_listing_is_got_elsewhere(self):
+    async def test_listing_with_a_lost_response_is_retried_elsewhere(self):
         self.first.instance.behaviour.lose_answers = True
         # The entry may leave a host alone for the seconds after its start.
         replies = []
@@ -292,14 +294,14 @@
         await self.until(got_elsewhere, "a listing is got elsewhere")
         self.assertEqual({reply.code for _, reply in replies}, {200})
 
-    async def test_refusal_by_the_server_is_told_as_not_run(self):
+    async def test_refusal_by_the_server_is_answered_as_not_run(self):
         for host in (self.first, self.second):
             host.instance.behaviour.refuse = True
         name, reply = await self.fleet.ask(self.third, "/book/x", "POST")
         self.assertEqual((reply.code, self.fleet.runs(name)), (503, 0))
         self.assertGreater(float(reply.headers["Retry-After"]), 0.0)
 
-    async def test_extra_answers_reach_nobody(self):
+    async def test_extra_responses_reach_no_caller(self):
         # A backend server answers each request twice.  The second answer lies
         # on the kept-alive connection when the next request goes out.
         for host in (self.first, self.second):
@@ -309,7 +311,7 @@
             self.assertEqual((reply.code, reply.body), (200, b"whole answer"))
             self.assertEqual(reply.headers[DIALECT.request_id], name)
 
-    async def test_answer_without_a_length_is_whole_unless_reset(self):
+    async def test_response_without_a_length_is_complete_unless_reset(self):
         for host in (self.first, self.second):
             host.instance.behaviour.unframed = "whole"
         _, reply = await self.fleet.ask(self.third, "/book/x", "POST")
@@ -323,7 +325,7 @@
 class TestConfiguration(FleetCase):
     """What the operator publishes, and who learns it how."""
 
-    async def test_change_is_in_force_everywhere(self):
+    async def test_configuration_change_takes_effect_at_every_node(self):
         self.fleet.routes.append(route_row("/new/", "rates"))
         self.fleet.configure()
         for host in self.fleet.hosts:
@@ -335,7 +337,7 @@
 
         return condition
 
-    async def test_node_that_the_store_refuses_learns_from_peers(self):
+    async def test_node_refused_by_the_store_gets_settings_from_peers(self):
         # One node starts while the store turns it away; the others reach it.
         # It must get routes and members from them, and say 503 until then.
         self.third.node.kill()
@@ -348,7 +350,7 @@
         self.fleet.configure()
         await self.fleet.until(self.serves(self.third, "/new/"), "change without the store", 3.0)
 
-    async def test_malformed_configuration_leaves_the_last_good_in_force(self):
+    async def test_malformed_configuration_leaves_the_last_valid_one_in_force(self):
         good = list(self.fleet.routes)
         self.fleet.routes[0] = route_row("/list/", "slots", "sometimes")
         self.fleet.configure()
@@ -363,7 +365,7 @@
         self.fleet.configure()
         await self.until(self.serves(self.first, "/new/"), "the next good one")
 
-    async def test_split_is_kept_to_the_call(self):
+    async def test_traffic_split_is_exact_to_the_call(self):
         parts = [{"service": "slots", "weight": 3}, {"service": "rates", "weight": 1}]
         self.fleet.routes.append(route_row("/split/", None, trafficSplit=parts))
         self.fleet.configure()
@@ -385,7 +387,7 @@
         await asyncio.sleep(4.0)
         self.assertLessEqual(self.fleet.store.calls - before, 9)
 
-    async def test_entries_that_lapsed_with_the_store_may_come_back(self):
+    async def test_servers_are_kept_when_entries_lapse_during_a_store_outage(self):
         # The store is away, the entries lapse meanwhile, and on its return the
         # backend servers, alive all the time, have yet to register again. To
         # take them for gone would refuse every call for a second or two.
@@ -409,7 +411,7 @@
         await asyncio.sleep(3.0)
         self.assertEqual((await self.fleet.ask(self.first, "/list/"))[1].code, 200)
 
-    async def test_killed_reader_is_replaced(self):
+    async def test_killed_store_reader_is_replaced(self):
         # The node that reads for all is killed; the next in order reads when
         # the last reading is a second old, and a change is in force in time.
         hosts = list(self.fleet.hosts)
@@ -423,7 +425,7 @@
 class TestStartAndStop(FleetCase):
     """Nodes that end and begin."""
 
-    async def test_node_without_settings_says_503_and_is_not_ready(self):
+    async def test_node_without_settings_answers_503_and_is_not_ready(self):
         for host in self.fleet.hosts:
             host.node.kill()
         for faults in self.fleet.store.faults.values():
@@ -440,7 +442,7 @@
 
         await self.until(serves, "serves when the store is back")
 
-    async def test_stop_cuts_no_request(self):
+    async def test_sigterm_interrupts_no_request(self):
         # SIGTERM reaches a node while requests run beside it and through it,
         # and callers go on sending until they notice that it is not ready.
         for host in self.fleet.hosts:
@@ -458,7 +460,7 @@
         self.assertEqual(set(codes), {200})
         self.assertEqual(await self.first.node.ended(), 0)
 
-    async def test_settings_that_change_are_taken_over(self):
+    async def test_changed_start_settings_are_reloaded(self):
         # The host gets a backend server of another service; with or without a
         # signal, requests that begin there now carry the new service.
         for number, service in enumerate(("other", "another")):
--- a/caperstack/platform/tests/test_zones.py
+++ b/caperstack/platform/tests/test_zones.py
@@ -9,42 +9,46 @@
 class TestEvacuation(FleetCase):
     """Zones that operators evacuate and take back."""
 
-    def runs_at(self, host):
+    def count_runs(self, host):
         return sum(host.instance.runs.values())
 
-    def evacuated(self, zone, state=True):
+    def is_evacuated_everywhere(self, zone, state=True):
         """Return a condition: all nodes have last told whether the zone is evacuated."""
 
         async def condition():
-            return all(self.told_last(host, zone) == str(state) for host in self.fleet.hosts)
+            return all(self.last_reported(host, zone) == str(state) for host in self.fleet.hosts)
 
         return condition
 
-    def told_last(self, host, zone):
+    def last_reported(self, host, zone):
         lines = host.node.lines("state")
         told = [n["new"] for n in lines if (n["subject"], n["peer"]) == ("zone evacuated", zone)]
         return told[-1] if told else ""
 
-    async def test_evacuated_zone_gets_no_calls_until_it_is_taken_back(self):
+    async def test_evacuated_zone_gets_no_calls_until_the_evacuation_ends(self):
         """Operators evacuate a zone and its servers get calls seconds later."""
         self.fleet.evacuate(self.first.zone)
-        await self.fleet.until(self.evacuated(self.first.zone), "known everywhere", 2.0)
-        before = self.runs_at(self.first)
+        await self.fleet.until(
+            self.is_evacuated_everywhere(self.first.zone), "known everywhere", 2.0
+        )
+        before = self.count_runs(self.first)
         for host in self.fleet.hosts:
             for method, path in (("GET", "/list/"), ("POST", "/book/")):
                 _, reply = await self.fleet.ask(host, path, method)
                 self.assertEqual(reply.code, 200)
-        self.assertEqual(self.runs_at(self.first), before)
+        self.assertEqual(self.count_runs(self.first), before)
         self.fleet.end_evacuation(self.first.zone)
-        await self.fleet.until(self.evacuated(self.first.zone, False), "taken back", 2.0)
+        await self.fleet.until(
+            self.is_evacuated_everywhere(self.first.zone, False), "taken back", 2.0
+        )
 
         async def works():
             await self.fleet.ask(self.third, "/list/")
-            return self.runs_at(self.first) > before
+            return self.count_runs(self.first) > before
 
         await self.until(works, "work again")
 
-    async def test_running_call_ends_and_the_only_zone_refuses_at_once(self):
+    async def test_running_call_completes_and_a_service_without_zones_refuses_at_once(self):
         """The only servers of a service are evacuated: callers wait, or running work is cut."""
         self.third.instance.behaviour.seconds = 1.5
         asked = asyncio.create_task(self.fleet.ask(self.first, "/rates/"))
@@ -54,7 +58,9 @@
 
         await self.until(running, "it runs")
         self.fleet.evacuate(self.third.zone)
-        await self.fleet.until(self.evacuated(self.third.zone), "known everywhere", 2.0)
+        await self.fleet.until(
+            self.is_evacuated_everywhere(self.third.zone), "known everywhere", 2.0
+        )
         began = now()
         name, reply = await self.fleet.ask(self.first, "/rates/")
         self.assertEqual((reply.code, self.fleet.runs(name)), (503, 0))
@@ -63,24 +69,24 @@
         _, ended = await asked
         self.assertEqual(ended.code, 200)
 
-    async def test_node_that_starts_knows_of_the_evacuation(self):
+    async def test_node_started_without_the_store_knows_of_the_evacuation(self):
         """A node starts while the store turns it away, and calls a zone that is evacuated."""
         self.fleet.evacuate(self.first.zone)
-        await self.until(self.evacuated(self.first.zone), "known everywhere")
+        await self.until(self.is_evacuated_everywhere(self.first.zone), "known everywhere")
         self.third.node.kill()
         self.third.boot["platformSettings"] = {"address": self.fleet.store_addresses[1]}
         self.fleet.store.faults[self.fleet.store_addresses[1]].status = 503
-        before = self.runs_at(self.first)
+        before = self.count_runs(self.first)
         self.fleet.start_node(self.third)
         await self.until(lambda: self.fleet.ready(self.third), "ready")
         for _ in range(20):
             _, reply = await self.fleet.ask(self.third, "/list/")
             self.assertEqual(reply.code, 200)
-        self.assertEqual(self.runs_at(self.first), before)
+        self.assertEqual(self.count_runs(self.first), before)
 
-    async def test_zone_that_nobody_is_in_changes_nothing(self):
+    async def test_evacuation_of_an_empty_zone_changes_nothing(self):
         self.fleet.evacuate("nowhere")
-        await self.until(self.evacuated("nowhere"), "told")
+        await self.until(self.is_evacuated_everywhere("nowhere"), "told")
         for host in self.fleet.hosts:
             _, reply = await self.fleet.ask(host, "/list/")
             self.assertEqual(reply.code, 200)
@@ -90,7 +96,7 @@
     """Backend servers that are cold, and end if they get more than they bear."""
 
     #: Of six a second that are tolerated, one and a half times and eight.
-    bound = 17
+    tolerated_per_second = 17
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -98,14 +104,14 @@
         self.fleet.configure()
         await asyncio.sleep(1.5)
 
-    def chill(self, host, seconds):
+    def make_cold(self, host, seconds):
         behaviour = host.instance.behaviour
         behaviour.seconds = 0.03
         behaviour.cold_since = now()
         behaviour.cold_until = now() + seconds
-        behaviour.cold_bears = self.bound
+        behaviour.cold_bears = self.tolerated_per_second
 
-    async def ask_many(self, path, per_second, seconds):
+    async def send_stream(self, path, per_second, seconds):
         """Ask in a stream at all nodes in turn; return the replies."""
         tasks = []
         until = now() + seconds
@@ -115,36 +121,36 @@
             await asyncio.sleep(1.0 / per_second)
         return [reply for _, reply in await asyncio.gather(*tasks)]
 
-    async def test_server_that_turns_cold_is_spared_and_the_warm_one_takes_the_rest(self):
+    async def test_calls_move_from_a_server_that_turns_cold_to_the_warm_one(self):
         """A server turns cold amid calls, gets its share as before, and ends."""
         self.second.instance.behaviour.seconds = 0.03
-        await self.ask_many("/list/", 60, 1.0)
-        self.chill(self.first, 3.0)
-        replies = await self.ask_many("/list/", 60, 2.5)
+        await self.send_stream("/list/", 60, 1.0)
+        self.make_cold(self.first, 3.0)
+        replies = await self.send_stream("/list/", 60, 2.5)
         self.assertEqual({reply.code for reply in replies}, {200})
         self.assertEqual(self.fleet.crashes, [])
 
-    async def test_only_cold_servers_refuse_at_once_what_they_cannot_bear(self):
+    async def test_service_with_only_cold_servers_refuses_excess_calls_at_once(self):
         """All servers of a service are cold: they end, or callers wait in vain."""
-        self.chill(self.third, 4.0)
-        replies = await self.ask_many("/rates/", 40, 3.0)
+        self.make_cold(self.third, 4.0)
+        replies = await self.send_stream("/rates/", 40, 3.0)
         refused = [reply for reply in replies if reply.code == 503]
         self.assertEqual(self.fleet.crashes, [])
         self.assertEqual({reply.code for reply in replies}, {200, 503})
         self.assertTrue(all(float(reply.headers["Retry-After"]) > 0 for reply in refused))
         self.assertLess(sorted(r.request_time for r in refused)[len(refused) // 2], 0.2)
 
-    async def test_node_that_starts_anew_spares_the_cold_server(self):
+    async def test_restarted_node_limits_calls_to_the_cold_server(self):
         """A node is killed and starts beside a cold server that has just got all that it bears."""
-        self.chill(self.third, 8.0)
-        await self.ask_many("/rates/", 40, 1.0)
+        self.make_cold(self.third, 8.0)
+        await self.send_stream("/rates/", 40, 1.0)
         self.third.node.kill()
         self.fleet.start_node(self.third)
         await self.until(lambda: self.fleet.ready(self.third), "ready")
-        await self.ask_many("/rates/", 40, 2.0)
+        await self.send_stream("/rates/", 40, 2.0)
         self.assertEqual(self.fleet.crashes, [])
 
-    async def test_cold_header_that_is_no_number_is_told_once_and_changes_nothing(self):
+    async def test_malformed_cold_header_is_logged_once_and_ignored(self):
         for host in self.fleet.hosts:
             host.instance.behaviour.cold_text = "soon"
 
@@ -152,6 +158,6 @@
             return all(host.node.lines("foreign header") for host in self.fleet.hosts)
 
         await self.until(told, "told")
-        replies = await self.ask_many("/list/", 60, 1.0)
+        replies = await self.send_stream("/list/", 60, 1.0)
         self.assertEqual({reply.code for reply in replies}, {200})
         self.assertEqual([len(h.node.lines("foreign header")) for h in self.fleet.hosts], [1, 1, 1])
