--- a/caperstack/platform/tests/fleetcase.py
+++ b/caperstack/platform/tests/fleetcase.py
@@ -1,4 +1,4 @@
-"""A fleet of three hosts on the platform's stand-ins, for tests with real nodes."""
+"""Base class of tests with real nodes: a fleet of three hosts on the platform's stand-ins."""
 
 import unittest
 
@@ -15,11 +15,11 @@
 
 
 class FleetCase(unittest.IsolatedAsyncioTestCase):
-    """Two hosts of one service and one of another."""
+    """A fleet with two hosts of one service and one host of another."""
 
     services = ("slots", "slots", "rates")
 
-    #: Bounds of the start settings that differ from the stand-in's.
+    #: Entries of the start settings' ``bounds`` that replace the defaults of the fleet.
     bounds = {}
 
     async def asyncSetUp(self):
--- a/caperstack/platform/tests/test_fleet.py
+++ b/caperstack/platform/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Members follow the entries that changed, whatever else the store holds."""
+"""Membership and owner settings follow changes of backend server entries and configuration."""
 
 import asyncio
 import unittest
@@ -15,7 +15,7 @@
 
 
 def document(host, **changes):
-    """Return what nodes tell each other of an entry."""
+    """Return the document in which nodes exchange the entry of a backend server."""
     values = {
         "service": "s",
         "address": f"{host}:8000",
@@ -29,7 +29,7 @@
 
 
 def configuration(*services):
-    """Return a configuration that names those services."""
+    """Return a configuration that defines `services`."""
     return {
         "version": 1,
         "routes": {"columns": ["name"], "rows": []},
@@ -42,7 +42,7 @@
 
 
 class TestFleetView(unittest.IsolatedAsyncioTestCase):
-    """`FleetView` beside the backend server at 10.0.0.1."""
+    """`FleetView` of the node beside the backend server at 10.0.0.1."""
 
     async def asyncSetUp(self):
         peer = "10.0.0.1:7600"
@@ -81,8 +81,9 @@
         self.assertEqual(self.hosts(), ["10.0.0.1"])
 
     async def test_reused_address_belongs_to_the_entry_with_the_later_start(self):
-        # A backend server ends and its address goes to one of another service
-        # while the old entry lies there still; when that goes, the new one stays.
+        # A backend server stops and a server of another service gets its address before
+        # the old entry is removed. Changes to the old entry and its removal must not
+        # affect the new member.
         await self.put("old", document("10.0.0.2"))
         await self.put("new", document("10.0.0.2", service="t", born_ms=9))
         self.assertEqual(self.members.find("10.0.0.2").service, "t")
@@ -107,8 +108,8 @@
         await self.put("i2", document("10.0.0.2", service="t"))
         await self.put("i2", document("10.0.0.2", service="t", slots=9))
         self.assertEqual(self.hosts(), ["10.0.0.1"])
-        told = [call for call in self.events.belief.mock_calls if call.args == ("foreign entry",)]
-        self.assertEqual(len(told), 1)
+        logged = [call for call in self.events.belief.mock_calls if call.args == ("foreign entry",)]
+        self.assertEqual(len(logged), 1)
         self.take(CONFIGURATION_KEY, configuration("s", "t"))
         await asyncio.sleep(0)
         self.assertEqual(self.hosts(), ["10.0.0.1", "10.0.0.2"])
@@ -124,7 +125,7 @@
         self.owner.set_cold_limit.assert_called_with(17.75, 3.0)
 
     async def test_service_without_a_cold_rate_has_no_cold_limit(self):
-        """Deployments that name no rate, or 0, are limited as if their servers bore nothing."""
+        """Guards against a missing rate, or a rate of 0, being taken for a limit of no requests."""
         for rate in (None, 0):
             limits = configuration("s")
             limits["services"]["columns"].append("coldPerS")
--- a/caperstack/platform/tests/test_growth.py
+++ b/caperstack/platform/tests/test_growth.py
@@ -1,4 +1,4 @@
-"""What a fleet costs itself as it grows, in virtual time, and what a change costs one node."""
+"""Traffic per node and work per change as the fleet grows, in virtual time."""
 
 import asyncio
 import functools
@@ -17,21 +17,21 @@
 
 
 async def _measure_bytes_per_node(size):
-    """Return bytes a node for a start of all, one change, twenty, and another start of all."""
+    """Return the bytes per node for a start, one change, twenty changes and a restart."""
     random.seed(size)
     fleet = SimulatedFleet(size)
     figures = {}
-    for what, seconds, stroke in (
+    for what, seconds, action in (
         ("start", 10.0, fleet.start),
         ("change", 3.0, functools.partial(_drain, fleet, range(1))),
         ("twenty changes", 3.0, functools.partial(_drain, fleet, range(1, 21))),
         ("start again", 8.0, functools.partial(_restart, fleet)),
     ):
-        task = asyncio.create_task(stroke())
+        task = asyncio.create_task(action())
         traffic, _ = await fleet.measure(seconds)
         await task
         if not fleet.has_converged():
-            raise AssertionError(f"{size} hosts do not agree after: {what}")
+            raise AssertionError(f"{size} hosts did not converge after: {what}")
         figures[what] = traffic.total_bytes / size
     await fleet.stop()
     return figures
@@ -49,26 +49,28 @@
 
 @functools.cache
 def bytes_per_node(size):
-    """Return the bytes a node by what happened, of a fleet of that size."""
+    """Return the bytes per node for each kind of change, in a fleet of `size` hosts."""
     return run_virtual(lambda: _measure_bytes_per_node(size))
 
 
 class TestBytesPerNode(unittest.TestCase):
-    """What a node sends does not grow with the fleet."""
+    """The bytes that a node sends do not grow with the fleet."""
 
     def assert_independent_of_size(self, what, factor):
         figures = [bytes_per_node(size)[what] for size in SIZES]
         self.assertLess(max(figures) / min(figures), factor, figures)
 
     def test_bytes_of_one_change_do_not_grow_with_the_fleet(self):
-        # Bytes a node at 30, 100, 300 hosts: 3,010, 3,210 and 4,650 where each
-        # difference is answered by all revisions, 2,490, 2,240 and 2,290 by buckets.
+        # Bytes per node at 30, 100 and 300 hosts: 3,010, 3,210 and 4,650 if each
+        # difference is answered with all revisions; 2,490, 2,240 and 2,290 if it is
+        # answered with the revisions of the differing buckets.
         self.assert_independent_of_size("change", 1.25)
 
     def test_bytes_of_twenty_changes_at_once_grow_little_with_the_fleet(self):
-        # At 100 hosts 19,060 bytes a node with a message for each change, 7,360
-        # with one for those of a turn; 6,560 at 30 and 9,580 at 300.  What still
-        # grows are the revisions in the buckets that differ.
+        # At 100 hosts, 19,060 bytes per node with one message per change and 7,360 with
+        # one message for all changes of an iteration of the event loop; with the latter
+        # 6,560 at 30 hosts and 9,580 at 300. The revisions in the differing buckets
+        # still grow with the fleet.
         self.assert_independent_of_size("twenty changes", 1.6)
         self.assertLess(bytes_per_node(100)["twenty changes"], 9000)
 
@@ -78,13 +80,13 @@
 
 
 class TestFunctionCallsPerChange(unittest.IsolatedAsyncioTestCase):
-    """What one node does for one change, in function calls."""
+    """Work of one node for one change, in function calls."""
 
     async def function_calls_of_a_change(self, size):
         fleet = SimulatedFleet(size)
         node = Node(fleet, *fleet.places[0])
         node.reader.start = _skip_start
-        # All peers can be reached, so that two parents are enough.
+        # All peers are reachable, so the node needs two parents only.
         fleet.is_running = lambda _host: True
         await node.start()
         self.addAsyncCleanup(node.sync.stop)
@@ -117,16 +119,16 @@
         return steps["call"] + steps["c_call"]
 
     async def test_function_calls_of_a_change_do_not_grow_with_the_fleet(self):
-        # A release drains and replaces each of n backend servers; a node whose
-        # work for each is as the fleet's size does the square of it.  Function
-        # calls at 20, 200 and 1,100 members: 4,180, 31,500 and 167,000 with whole
-        # lists, 1,450 to 1,580 with what changed alone.
+        # A release drains and replaces each of n backend servers; if the work for each
+        # is proportional to the fleet's size, a node does work in the square of n.
+        # Function calls at 20, 200 and 1,100 members: 4,180, 31,500 and 167,000 if whole
+        # lists are processed, 1,450 to 1,580 if only the change is.
         steps = [await self.function_calls_of_a_change(size) for size in (20, 200, 1100)]
         self.assertLess(max(steps) / min(steps), 2.0, steps)
 
 
 async def _skip_start(_kernel):
-    """Read nothing."""
+    """Replace the start of the store reader, so that it does not read."""
 
 
 if __name__ == "__main__":
--- a/caperstack/platform/tests/test_overload.py
+++ b/caperstack/platform/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Backend servers that have no room, or lost an answer, with real nodes."""
+"""Backend servers that are full or lost a response, with real nodes."""
 
 import asyncio
 
@@ -7,35 +7,35 @@
 
 
 class TestWithoutRetries(FleetCase):
-    """Nodes that may not send anything a second time."""
+    """Nodes whose retry budget is zero."""
 
     bounds = {"retryBudgetRatio": 0.0, "budgetMinRetries": 0}
 
     async def test_server_that_lost_a_response_gets_calls_again(self):
-        """One lost answer, with no repeat to spend, and a sound server stays idle for good."""
+        """Guards against a healthy server that gets no calls any more after one lost response."""
         self.first.instance.behaviour.lose_answers = True
 
-        async def lost():
+        async def response_lost():
             return (await self.fleet.ask(self.third, "/list/"))[1].code == 502
 
-        await self.until(lost, "an answer is lost")
+        await self.until(response_lost, "a response is lost")
         self.first.instance.behaviour.lose_answers = False
         before = sum(self.first.instance.runs.values())
 
-        async def works():
+        async def gets_calls():
             await self.fleet.ask(self.third, "/list/")
             return sum(self.first.instance.runs.values()) > before
 
-        await self.until(works, "calls again")
+        await self.until(gets_calls, "the server gets calls again")
 
 
 class TestOverload(FleetCase):
-    """More bookings than slots."""
+    """Calls in excess of the slots."""
 
     body = b"b" * 8000
 
     async def sent_bytes(self, host, kind):
-        """Return how many bytes of messages of that kind a node has sent to its peers."""
+        """Return how many bytes of messages of a kind the node of `host` has sent to its peers."""
         reply = await request(self.fleet.metrics_address(host), "GET", "/metrics")
         name = "caperstack_peer_bytes_out_by_kind"
         found = [
@@ -46,9 +46,9 @@
         return sum(float(value) for value in found)
 
     async def test_bodies_are_sent_only_to_owners_that_run_the_call(self):
-        """Each refused offer carries the body, and the link of a full host is busy with them.
+        """Guards against links that are busy with the bodies of calls that the owner refuses.
 
-        Bookings of 8 kB, five times as many as there are slots for.
+        The bookings have bodies of 8 kB, and five times as many arrive as there are slots for.
         """
         for host in (self.first, self.second):
             host.instance.behaviour.seconds = 0.3
