--- a/caperstack/platform/tests/test_spread.py
+++ b/caperstack/platform/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""How soon a new configuration is known at every node, in virtual time."""
+"""Time until every node knows a new configuration, in virtual time."""
 
 import asyncio
 import random
@@ -10,12 +10,12 @@
 from caperstack.platform.standin.simulation import SERVICES, SimulatedFleet
 from caperstack.play.virtual import run_virtual
 
-#: Within so long of its acknowledgement a version is to be known at every node.
+#: Longest time from the acknowledgement of a version until every node knows it.
 MAX_SPREAD_SECONDS = 1.5
 
 SIZES = (30, 195)
 
-#: How long a message waits until a busy node reads it, on average, in seconds.
+#: Mean time that a message waits until a busy node reads it, in seconds.
 MEAN_READ_DELAY_SECONDS = 0.05
 
 
@@ -28,36 +28,44 @@
 
 
 async def _kill_share(fleet, share):
-    """Kill a share of the nodes, spread over a second."""
+    """Kill a share of the nodes, spread over one second."""
     victims = random.sample([host for host, _, _ in fleet.places], int(share * len(fleet.places)))
     for host in victims:
         await asyncio.sleep(1.0 / len(victims))
         await fleet.kill(host)
 
 
-async def _measure_spread(size, seed, share, busy):
-    """Return how long it takes until the first and the last living node know a new version."""
+async def _measure_spread(size, seed, share, mean_read_delay_seconds):
+    """Return the seconds until the first and until the last running node know a new version.
+
+    Parameters
+    ----------
+    share : float
+        Share of the nodes that is killed meanwhile.
+    mean_read_delay_seconds : float
+        Mean time that a message waits until its receiver reads it.
+    """
     fleet = await _start_fleet(size, seed)
-    fleet.mean_read_delay_seconds = busy
+    fleet.mean_read_delay_seconds = mean_read_delay_seconds
     await asyncio.sleep(3.0)
-    begun = now()
+    started_at = now()
     fleet.store.put(CONFIGURATION_KEY, configuration(2, [], SERVICES))
     killing = asyncio.create_task(_kill_share(fleet, share))
     first = None
-    while now() < begun + 10.0:
+    while now() < started_at + 10.0:
         held = [node.settings.get(CONFIGURATION_KEY) for node in fleet.nodes]
         knows = [one is not None and one.parsed.version == 2 for one in held]
-        first = now() - begun if first is None and any(knows) else first
+        first = now() - started_at if first is None and any(knows) else first
         if killing.done() and all(knows):
             break
         await asyncio.sleep(0.01)
-    last = now() - begun
+    last = now() - started_at
     await fleet.stop()
     return first, last
 
 
 async def _count_store_reads(size, seconds):
-    """Return how often the store is read in each span of so many seconds by busy nodes."""
+    """Return how often busy nodes read the store in each of four spans of `seconds`."""
     fleet = await _start_fleet(size, 1)
     fleet.mean_read_delay_seconds = MEAN_READ_DELAY_SECONDS
     counts = []
@@ -69,19 +77,21 @@
 
 
 class TestConfigurationSpread(unittest.TestCase):
-    """Time from an acknowledgement to the last node."""
+    """Time from the acknowledgement of a configuration until the last node knows it."""
 
-    def assert_spread_in_time(self, share, busy):
+    def assert_spread_in_time(self, share, mean_read_delay_seconds):
         for size in SIZES:
             for seed in range(1):
-                _, last = run_virtual(lambda s=size, n=seed: _measure_spread(s, n, share, busy))
+                _, last = run_virtual(
+                    lambda s=size, n=seed: _measure_spread(s, n, share, mean_read_delay_seconds)
+                )
                 self.assertLessEqual(last, MAX_SPREAD_SECONDS, (size, seed))
 
     def test_spread_in_an_idle_fleet(self):
         self.assert_spread_in_time(0.0, 0.0)
 
     def test_spread_while_a_third_of_the_nodes_is_killed(self):
-        """The nodes that would have read next are killed, and others wait for them."""
+        """Guards against nodes that wait for the killed nodes whose turn it was to read."""
         self.assert_spread_in_time(0.33, 0.0)
 
     def test_spread_among_busy_nodes_while_a_third_is_killed(self):
@@ -89,10 +99,10 @@
 
 
 class TestStoreReads(unittest.TestCase):
-    """The store goes on being read."""
+    """Reads of the store."""
 
     def test_busy_nodes_keep_reading_the_store(self):
-        """Word of a reading comes round late, is taken for a new one, and nobody reads again."""
+        """Guards against late notices of a platform read that pass for new and stop all reads."""
         for size in (30, 77):
             counts = run_virtual(lambda s=size: _count_store_reads(s, 5.0))
             self.assertGreaterEqual(min(counts), 4, counts)
--- a/caperstack/platform/tests/test_suspect_growth.py
+++ b/caperstack/platform/tests/test_suspect_growth.py
@@ -1,4 +1,4 @@
-"""How suspects are told in a fleet that grows, in virtual time."""
+"""Exchange of suspect requests in fleets of increasing size, in virtual time."""
 
 import asyncio
 import functools
@@ -15,15 +15,27 @@
 FATAL = Fingerprint(1, 1)
 BYSTANDERS = [Fingerprint(2 + number, 1) for number in range(7)]
 
-#: Within so many seconds of its third end a request is kept away everywhere.
+#: Longest time from the third crash that a request caused until every node quarantines it.
 PROPAGATION_SECONDS = 0.5
 
-#: Messages a node may send for one end, however large the fleet is.
+#: Mean number of messages that a node may send for one crash, whatever the fleet's size.
 MAX_MESSAGES_PER_NODE = 16
 
 
 async def _measure_suspicions(size):
-    """Return messages and bytes a node for each of three ends, and what all nodes hold then."""
+    """Report three crashes in a fleet of `size` hosts and return what the nodes sent and know.
+
+    Returns
+    -------
+    figures : list of tuple of (float, float)
+        Messages and bytes per node for each crash.
+    verdicts : set of Verdict
+        Verdicts of all nodes on the fatal request.
+    cleared : set of Verdict
+        Verdicts of all nodes on a request that completed afterwards.
+    verdict : Verdict
+        Verdict of a node that was started last on the fatal request.
+    """
     random.seed(size)
     fleet = SimulatedFleet(size)
     task = asyncio.create_task(fleet.start())
@@ -46,7 +58,7 @@
     await fleet.nodes[0].stop()
     fleet._nodes[started.here.host] = started
     await started.start()
-    # It reads the store, is asked for something, and waits for a peer.
+    # The node has read the store and gets a call, for which it waits until a peer has answered.
     while not started.settings.known:
         await asyncio.sleep(0.001)
     await started.sync.until_contact()
@@ -57,17 +69,17 @@
 
 @functools.cache
 def suspicion_results(size):
-    """Return what became of three ends in a fleet of that size."""
+    """Return the result of `_measure_suspicions` for a fleet of `size` hosts."""
     return run_virtual(lambda: _measure_suspicions(size))
 
 
 class TestSuspectExchangeInAFleet(unittest.TestCase):
-    """`SuspectExchange` over the fleet's own connections."""
+    """`SuspectExchange` over the connections of a simulated fleet."""
 
     def test_each_node_sends_a_bounded_number_of_messages(self):
-        # A service of hundreds of servers loses one after the other; were each
-        # end told by each node to all others, the square of the fleet would go
-        # round for each.
+        # A service with hundreds of servers loses one after the other. If each node told
+        # all others of each crash, the messages per crash would grow with the square of
+        # the fleet's size.
         for size in SIZES:
             figures, _, _, _ = suspicion_results(size)
             for messages_by_kind, _sent in figures:
@@ -80,8 +92,8 @@
             self.assertEqual(cleared, {Verdict.FREE}, size)
 
     def test_started_node_knows_quarantined_requests(self):
-        # Failure: a node starts, serves callers, and sends on a request that all
-        # others keep away.  It hears of it before it agrees with a neighbour on
-        # the settings, without which it serves nobody.
+        # Guards against a started node that sends on a request which all others
+        # quarantine. It learns of the quarantine before it agrees with a neighbour on the
+        # settings, and serves no caller before it has agreed.
         for size in SIZES:
             self.assertEqual(suspicion_results(size)[3], Verdict.QUARANTINED, size)
--- a/caperstack/platform/tests/test_zones.py
+++ b/caperstack/platform/tests/test_zones.py
@@ -7,13 +7,13 @@
 
 
 class TestEvacuation(FleetCase):
-    """Zones that operators evacuate and take back."""
+    """Zones that operators evacuate and take into service again."""
 
     def count_runs(self, host):
         return sum(host.instance.runs.values())
 
     def is_evacuated_everywhere(self, zone, state=True):
-        """Return a condition: all nodes have last told whether the zone is evacuated."""
+        """Return a condition: all nodes have last logged `state` as the evacuation of the zone."""
 
         async def condition():
             return all(self.last_reported(host, zone) == str(state) for host in self.fleet.hosts)
@@ -22,11 +22,11 @@
 
     def last_reported(self, host, zone):
         lines = host.node.lines("state")
-        told = [n["new"] for n in lines if (n["subject"], n["peer"]) == ("zone evacuated", zone)]
-        return told[-1] if told else ""
+        states = [n["new"] for n in lines if (n["subject"], n["peer"]) == ("zone evacuated", zone)]
+        return states[-1] if states else ""
 
     async def test_evacuated_zone_gets_no_calls_until_the_evacuation_ends(self):
-        """Operators evacuate a zone and its servers get calls seconds later."""
+        """Guards against servers of an evacuated zone that still get calls seconds later."""
         self.fleet.evacuate(self.first.zone)
         await self.fleet.until(
             self.is_evacuated_everywhere(self.first.zone), "known everywhere", 2.0
@@ -39,24 +39,24 @@
         self.assertEqual(self.count_runs(self.first), before)
         self.fleet.end_evacuation(self.first.zone)
         await self.fleet.until(
-            self.is_evacuated_everywhere(self.first.zone, False), "taken back", 2.0
+            self.is_evacuated_everywhere(self.first.zone, False), "evacuation ended", 2.0
         )
 
-        async def works():
+        async def gets_calls():
             await self.fleet.ask(self.third, "/list/")
             return self.count_runs(self.first) > before
 
-        await self.until(works, "work again")
+        await self.until(gets_calls, "the zone gets calls again")
 
     async def test_running_call_completes_and_a_service_without_zones_refuses_at_once(self):
-        """The only servers of a service are evacuated: callers wait, or running work is cut."""
+        """Guards against waiting callers and cut calls when a service is evacuated as a whole."""
         self.third.instance.behaviour.seconds = 1.5
-        asked = asyncio.create_task(self.fleet.ask(self.first, "/rates/"))
+        call = asyncio.create_task(self.fleet.ask(self.first, "/rates/"))
 
         async def running():
             return self.third.instance.running == 1
 
-        await self.until(running, "it runs")
+        await self.until(running, "the call is running")
         self.fleet.evacuate(self.third.zone)
         await self.fleet.until(
             self.is_evacuated_everywhere(self.third.zone), "known everywhere", 2.0
@@ -66,11 +66,11 @@
         self.assertEqual((reply.code, self.fleet.runs(name)), (503, 0))
         self.assertGreater(float(reply.headers["Retry-After"]), 0.0)
         self.assertLess(now() - began, 1.0)
-        _, ended = await asked
-        self.assertEqual(ended.code, 200)
+        _, completed = await call
+        self.assertEqual(completed.code, 200)
 
     async def test_node_started_without_the_store_knows_of_the_evacuation(self):
-        """A node starts while the store turns it away, and calls a zone that is evacuated."""
+        """Guards against calls to an evacuated zone by a node that starts without the store."""
         self.fleet.evacuate(self.first.zone)
         await self.until(self.is_evacuated_everywhere(self.first.zone), "known everywhere")
         self.third.node.kill()
@@ -86,16 +86,17 @@
 
     async def test_evacuation_of_an_empty_zone_changes_nothing(self):
         self.fleet.evacuate("nowhere")
-        await self.until(self.is_evacuated_everywhere("nowhere"), "told")
+        await self.until(self.is_evacuated_everywhere("nowhere"), "known everywhere")
         for host in self.fleet.hosts:
             _, reply = await self.fleet.ask(host, "/list/")
             self.assertEqual(reply.code, 200)
 
 
 class TestColdServers(FleetCase):
-    """Backend servers that are cold, and end if they get more than they bear."""
+    """Cold backend servers, which crash if they get more requests than they tolerate."""
 
-    #: Of six a second that are tolerated, one and a half times and eight.
+    #: Requests per second that crash no cold server: 1.5 times the configured rate of six
+    #: plus eight, as the bounds in the start settings allow.
     tolerated_per_second = 17
 
     async def asyncSetUp(self):
@@ -112,7 +113,7 @@
         behaviour.cold_bears = self.tolerated_per_second
 
     async def send_stream(self, path, per_second, seconds):
-        """Ask in a stream at all nodes in turn; return the replies."""
+        """Send requests at a constant rate to all nodes in turn and return the responses."""
         tasks = []
         until = now() + seconds
         while now() < until:
@@ -122,7 +123,7 @@
         return [reply for _, reply in await asyncio.gather(*tasks)]
 
     async def test_calls_move_from_a_server_that_turns_cold_to_the_warm_one(self):
-        """A server turns cold amid calls, gets its share as before, and ends."""
+        """Guards against a server that turns cold under load, keeps its share and crashes."""
         self.second.instance.behaviour.seconds = 0.03
         await self.send_stream("/list/", 60, 1.0)
         self.make_cold(self.first, 3.0)
@@ -131,7 +132,7 @@
         self.assertEqual(self.fleet.crashes, [])
 
     async def test_service_with_only_cold_servers_refuses_excess_calls_at_once(self):
-        """All servers of a service are cold: they end, or callers wait in vain."""
+        """Guards against crashes or fruitless waiting when all servers of a service are cold."""
         self.make_cold(self.third, 4.0)
         replies = await self.send_stream("/rates/", 40, 3.0)
         refused = [reply for reply in replies if reply.code == 503]
@@ -141,7 +142,10 @@
         self.assertLess(sorted(r.request_time for r in refused)[len(refused) // 2], 0.2)
 
     async def test_restarted_node_limits_calls_to_the_cold_server(self):
-        """A node is killed and starts beside a cold server that has just got all that it bears."""
+        """Guards against a restarted node that overloads a cold server.
+
+        The server got as many requests as it tolerates just before the node was killed.
+        """
         self.make_cold(self.third, 8.0)
         await self.send_stream("/rates/", 40, 1.0)
         self.third.node.kill()
@@ -154,10 +158,10 @@
         for host in self.fleet.hosts:
             host.instance.behaviour.cold_text = "soon"
 
-        async def told():
+        async def logged():
             return all(host.node.lines("foreign header") for host in self.fleet.hosts)
 
-        await self.until(told, "told")
+        await self.until(logged, "the header is logged")
         replies = await self.send_stream("/list/", 60, 1.0)
         self.assertEqual({reply.code for reply in replies}, {200})
         self.assertEqual([len(h.node.lines("foreign header")) for h in self.fleet.hosts], [1, 1, 1])
