--- a/caperstack/platform/tests/test_quarantine.py
+++ b/caperstack/platform/tests/test_quarantine.py
@@ -13,7 +13,7 @@
 ]
 
 FATAL = "/list/a?page=7"
-NEIGHBOUR = "/list/a?page=8"
+SAME_PATH = "/list/a?page=8"
 POPULAR = "/list/popular"
 
 #: Kind of the log line that an owner writes when its backend server has crashed.
@@ -82,7 +82,7 @@
         return sorted(run.at for run in runs if run.target == target)
 
     async def test_fatal_request_is_quarantined_after_three_crashes(self):
-        await self.send_repeatedly(9.0, {FATAL: 0.2, NEIGHBOUR: 0.1, POPULAR: 0.05})
+        await self.send_repeatedly(9.0, {FATAL: 0.2, SAME_PATH: 0.1, POPULAR: 0.05})
         crashes = [crash.at for crash in self.fleet.crashes]
         self.assertGreaterEqual(len(crashes), 3)
         late = [at for at in self.send_times(FATAL) if at > crashes[2] + PROPAGATION_SECONDS]
@@ -91,9 +91,9 @@
     async def test_other_requests_of_the_path_and_servers_are_not_refused(self):
         # The same path with another query, and a popular listing that was running at
         # every crash, did not cause the crashes and must not be refused.
-        await self.send_repeatedly(4.0, {FATAL: 0.2, NEIGHBOUR: 0.1, POPULAR: 0.02})
+        await self.send_repeatedly(4.0, {FATAL: 0.2, SAME_PATH: 0.1, POPULAR: 0.02})
         await asyncio.sleep(self.fleet.down_seconds + 1.0)
-        results = await self.send_repeatedly(3.0, {FATAL: 0.2, NEIGHBOUR: 0.1, POPULAR: 0.05})
+        results = await self.send_repeatedly(3.0, {FATAL: 0.2, SAME_PATH: 0.1, POPULAR: 0.05})
         refused = [result for result in results if result[0] != FATAL and result[2] != 200]
         self.assertEqual(refused, [])
 
--- a/caperstack/platform/tests/test_suspect_growth.py
+++ b/caperstack/platform/tests/test_suspect_growth.py
@@ -13,7 +13,7 @@
 SIZES = (30, 100, 300)
 
 FATAL = Fingerprint(1, 1)
-BYSTANDERS = [Fingerprint(2 + number, 1) for number in range(7)]
+OTHER_REQUESTS = [Fingerprint(2 + number, 1) for number in range(7)]
 
 #: Longest time from the third crash that a request caused until every node quarantines it.
 PROPAGATION_SECONDS = 0.5
@@ -44,16 +44,16 @@
     figures = []
     for number in range(3):
         node = fleet.nodes[number * size // 3]
-        node.suspects.note_end(100 + number, [FATAL, *BYSTANDERS])
+        node.suspects.note_end(100 + number, [FATAL, *OTHER_REQUESTS])
         traffic, _ = await fleet.measure(PROPAGATION_SECONDS)
         messages_by_kind, sent = (
             c["Suspicions"] / size for c in (traffic.messages_by_kind, traffic.bytes_by_kind)
         )
         figures.append((messages_by_kind, sent))
     verdicts = {node.suspects.verdict(FATAL) for node in fleet.nodes}
-    fleet.nodes[1].suspects.note_survival(BYSTANDERS[0])
+    fleet.nodes[1].suspects.note_survival(OTHER_REQUESTS[0])
     traffic, _ = await fleet.measure(PROPAGATION_SECONDS)
-    cleared = {node.suspects.verdict(BYSTANDERS[0]) for node in fleet.nodes}
+    cleared = {node.suspects.verdict(OTHER_REQUESTS[0]) for node in fleet.nodes}
     started = Node(fleet, *fleet.places[0])
     await fleet.nodes[0].stop()
     fleet._nodes[started.here.host] = started
