--- a/caperstack/platform/standin/store.py
+++ b/caperstack/platform/standin/store.py
@@ -113,7 +113,7 @@
             "created": created,
             "lease": 0,
         }
-        self._note(self._items[key])
+        self._record_change(self._items[key])
         return self._revision
 
     def put_raw(self, key, data):
@@ -125,7 +125,7 @@
         """Delete an item."""
         self._revision += 1
         self._items.pop(key, None)
-        self._note({"key": key, "revision": self._revision, "deleted": True})
+        self._record_change({"key": key, "revision": self._revision, "deleted": True})
 
     def copy(self):
         """Return a copy of the current items and revision."""
@@ -156,7 +156,7 @@
                 self._put_value(key, lost["value"])
         self._lost = self._copy = {}
 
-    def _note(self, change):
+    def _record_change(self, change):
         self._changes.append(change)
         self._wake_watches()
 
