--- a/caperstack/platform/standin/instance.py
+++ b/caperstack/platform/standin/instance.py
@@ -166,10 +166,10 @@
 
     async def _handle(self, request):
         if request.path == "/health":
-            left = max(0, round(time_left(self.behaviour.cold_until) * 1000))
-            text = self.behaviour.cold_text or (str(left) if left else "")
-            told = {DIALECT.cold: text} if text else {}
-            self._write(request, 200 if self.behaviour.healthy else 503, b"", told)
+            milliseconds = max(0, round(time_left(self.behaviour.cold_until) * 1000))
+            text = self.behaviour.cold_text or (str(milliseconds) if milliseconds else "")
+            headers = {DIALECT.cold: text} if text else {}
+            self._write(request, 200 if self.behaviour.healthy else 503, b"", headers)
         elif request.headers.get(DIALECT.target_instance, self.name) != self.name:
             self.misdirected += 1
             self._write(request, 421, b"", {})
@@ -179,16 +179,16 @@
             await self._run(request)
 
     async def _run(self, request):
-        name = request.headers.get(DIALECT.request_id, "")
-        self.runs[name] += 1
-        self.ledger.append(Run(name, now(), self.name, self.service, request.uri))
-        seen = dict(request.headers.get_all())
+        request_id = request.headers.get(DIALECT.request_id, "")
+        self.runs[request_id] += 1
+        self.ledger.append(Run(request_id, now(), self.name, self.service, request.uri))
+        headers = dict(request.headers.get_all())
         if self._is_overloaded():
             self.overloaded += 1
             self.on_crash(self, "")
             return
         self.seen.append(
-            seen | {"method": request.method, "target": request.uri, "body": request.body}
+            headers | {"method": request.method, "target": request.uri, "body": request.body}
         )
         self.running += 1
         fatal = request.uri in self.behaviour.fatal
@@ -232,9 +232,9 @@
         headers[DIALECT.instance] = self.name
         percent = round(self.behaviour.pace * 100)
         headers[DIALECT.load] = f"{self.running},0,{self.slots},{percent}"
-        name = request.headers.get(DIALECT.request_id)
-        if name:
-            headers[DIALECT.request_id] = name
+        request_id = request.headers.get(DIALECT.request_id)
+        if request_id:
+            headers[DIALECT.request_id] = request_id
         return headers
 
     def _write(self, request, status, body, more):
@@ -251,10 +251,10 @@
         headers = self._headers(request, {SEAL: str(len(self.behaviour.body))})
         head = "".join(f"{name}: {value}\r\n" for name, value in headers.get_all())
         body = self.behaviour.body
-        whole = self.behaviour.unframed == "whole"
+        complete = self.behaviour.unframed == "whole"
         stream = request.connection.stream
-        stream.write(f"HTTP/1.1 200 OK\r\n{head}\r\n".encode() + body[: None if whole else 5])
-        if not whole:
+        stream.write(f"HTTP/1.1 200 OK\r\n{head}\r\n".encode() + body[: None if complete else 5])
+        if not complete:
             _reset_on_close(stream.socket)
         asyncio.get_running_loop().call_later(0.02, stream.close)
 
