--- a/caperstack/platform/standin/demo.py
+++ b/caperstack/platform/standin/demo.py
@@ -1,4 +1,4 @@
-"""A mesh of hosts on the platform's stand-ins: drive calls through trouble, or serve."""
+"""Demo fleet on the platform's stand-ins: send calls while servers slow down and stop, or serve."""
 
 import argparse
 import asyncio
@@ -21,62 +21,66 @@
 )
 WORK_SECONDS = {"listings": 0.12, "bookings": 0.15, "rates": 0.03}
 
-#: How often a neighbour takes or leaves a host, in seconds, how likely it has
-#: it, and how slow work is meanwhile.
-VISIT_SECONDS = 0.3
-VISIT_SHARE = 0.25
-VISIT_PACE = 4.0
+#: Every ``SLOW_PHASE_SECONDS`` each host enters a slow phase with the probability
+#: ``SLOW_PHASE_SHARE``, or leaves it; work takes ``SLOW_PHASE_FACTOR`` times longer in it.
+SLOW_PHASE_SECONDS = 0.3
+SLOW_PHASE_SHARE = 0.25
+SLOW_PHASE_FACTOR = 4.0
 
 
 @dataclass(slots=True)
 class _Result:
     path: str
-    name: str
+    request_id: str
     code: int
     seconds: float
 
 
 def _parser():
     parser = argparse.ArgumentParser(prog="demo", description=__doc__)
-    parser.add_argument("--rate", type=float, default=40.0, help="calls a second")
+    parser.add_argument("--rate", type=float, default=40.0, help="calls per second")
     parser.add_argument("--seconds", type=float, default=8.0)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--serve", action="store_true", help="leave it running, drive no calls")
+    parser.add_argument(
+        "--serve", action="store_true", help="keep the fleet running without sending calls"
+    )
     return parser
 
 
-async def _neighbours(fleet, rng):
-    """Take and leave hosts for ever, as noisy neighbours do."""
+async def _toggle_slow_phases(fleet, rng):
+    """Start and end slow phases of hosts until cancelled, as noisy neighbours cause them."""
     while True:
         for host in fleet.hosts:
-            host.instance.conduct.pace = VISIT_PACE if rng.random() < VISIT_SHARE else 1.0
-        await asyncio.sleep(VISIT_SECONDS)
+            host.instance.behaviour.pace = (
+                SLOW_PHASE_FACTOR if rng.random() < SLOW_PHASE_SHARE else 1.0
+            )
+        await asyncio.sleep(SLOW_PHASE_SECONDS)
 
 
-async def _trouble(fleet, seconds):
-    """Stop one node in peace, then let another host's backend server drain."""
+async def _disturb_fleet(fleet, seconds):
+    """Stop one node with SIGTERM, then let the backend server of another host drain."""
     await asyncio.sleep(seconds * 0.25)
-    stopped, leaving = fleet.hosts[0], fleet.hosts[3]
+    stopped, draining = fleet.hosts[0], fleet.hosts[3]
     print(f"-- {stopped.ip}: SIGTERM")
     stopped.node.signal(signal.SIGTERM)
     await asyncio.sleep(seconds * 0.25)
-    print(f"-- {leaving.ip}: its backend server drains")
-    fleet.register(leaving, "draining")
+    print(f"-- {draining.ip}: its backend server drains")
+    fleet.register(draining, "draining")
     return await stopped.node.ended()
 
 
 async def _call(fleet, host, path):
     method = "POST" if path.startswith("/bookings") else "GET"
     began = now()
-    name, reply = await fleet.ask(host, path, method)
-    return _Result(path, name, reply.code, now() - began)
+    request_id, reply = await fleet.ask(host, path, method)
+    return _Result(path, request_id, reply.code, now() - began)
 
 
-async def _drive(fleet, options, rng):
+async def _send_calls(fleet, options, rng):
     tasks = []
     end = deadline_after(options.seconds)
     while now() < end:
-        # Callers on the first host have gone elsewhere before it stops.
+        # No calls enter at the first host, since its node is stopped meanwhile.
         host = rng.choice(fleet.hosts[1:])
         path = rng.choice(("/listings/a", "/listings/b", "/bookings/", "/rates/"))
         tasks.append(asyncio.create_task(_call(fleet, host, path)))
@@ -84,7 +88,7 @@
     return await asyncio.gather(*tasks)
 
 
-def _show(results):
+def _print_summary(results):
     print(f"\n{'path':14}{'calls':>6}{'p50 ms':>8}{'p99 ms':>8}  outcomes")
     for path in sorted({result.path for result in results}):
         own = [result for result in results if result.path == path]
@@ -94,25 +98,25 @@
         print(f"{path:14}{len(own):6}{times[len(times) // 2]:8.0f}{p99:8.0f}  {codes}")
 
 
-def _explain(fleet, result):
-    print(f"\nThe story of request {result.name}, from the nodes' logs:")
+def _print_request_log(fleet, result):
+    print(f"\nSlowest request {result.request_id} in the nodes' logs:")
     lines = [line for host in fleet.hosts for line in host.node.all_lines()]
     for line in sorted(lines, key=lambda line: line["at_us"]):
-        if line.get("id") == result.name:
+        if line.get("id") == result.request_id:
             shown = {k: v for k, v in line.items() if k not in ("at_us", "id")}
             print(f"  {shown.pop('host')} {shown.pop('kind')}: {shown}")
 
 
 async def _demo(fleet, options, rng):
-    trouble = asyncio.create_task(_trouble(fleet, options.seconds))
-    results = await _drive(fleet, options, rng)
+    trouble = asyncio.create_task(_disturb_fleet(fleet, options.seconds))
+    results = await _send_calls(fleet, options, rng)
     status = await trouble
-    _show(results)
-    _explain(fleet, max(results, key=lambda result: result.seconds))
-    twice = [r for r in results if r.path == "/bookings/" and fleet.runs(r.name) > 1]
-    false = [r for r in results if r.code in (429, 503) and fleet.runs(r.name)]
+    _print_summary(results)
+    _print_request_log(fleet, max(results, key=lambda result: result.seconds))
+    twice = [r for r in results if r.path == "/bookings/" and fleet.runs(r.request_id) > 1]
+    false = [r for r in results if r.code in (429, 503) and fleet.runs(r.request_id)]
     print(f'\nBookings run twice: {len(twice)}; false "not run": {len(false)}')
-    print(f"The stopped node ended with status {status}; store calls: {fleet.store.calls}")
+    print(f"Exit status of the stopped node: {status}; store calls: {fleet.store.calls}")
     answered = sum(result.code == 200 for result in results)
     return not twice and not false and status == 0 and answered > 0
 
@@ -131,18 +135,18 @@
     rng = random.Random(options.seed)
     async with PlatformFleet(list(SERVICES), list(ROUTES)) as fleet:
         for host in fleet.hosts:
-            host.instance.conduct.seconds = WORK_SECONDS[host.instance.service]
-        visits = asyncio.create_task(_neighbours(fleet, rng))
+            host.instance.behaviour.seconds = WORK_SECONDS[host.instance.service]
+        slow_phases = asyncio.create_task(_toggle_slow_phases(fleet, rng))
         try:
             if options.serve:
                 await _serve(fleet)
             return 0 if await _demo(fleet, options, rng) else 1
         finally:
-            visits.cancel()
+            slow_phases.cancel()
 
 
 def main(arguments=None):
-    """Run the command line; return the exit status."""
+    """Run the demo from the command line and return its exit status."""
     options = _parser().parse_args(arguments)
     try:
         return asyncio.run(_run(options))
--- a/caperstack/platform/standin/instance.py
+++ b/caperstack/platform/standin/instance.py
@@ -1,4 +1,4 @@
-"""A stand-in for a backend server of the platform: slots, load header, refusals, a ledger."""
+"""A stand-in for a backend server of the platform, with faults that tests switch on and off."""
 
 import asyncio
 import itertools
@@ -11,42 +11,47 @@
 from caperstack.clock import now, time_left
 from caperstack.platform.names import DIALECT, SERVER_SEAL_HEADER
 
-__all__ = ["Conduct", "Run", "StandinInstance"]
+__all__ = ["Behaviour", "Run", "StandinInstance"]
 
 
 @dataclass
-class Conduct:
-    """How the server behaves; a test changes it at any time.
+class Behaviour:
+    """How the server behaves; tests change the fields at any time.
 
     Attributes
     ----------
     seconds : float
-        How long work takes, before the pace.
+        How long a request runs, before `pace` is applied.
     pace : float
-        How many times longer work takes that starts now; told in the load header.
+        Slowdown: the factor by which requests that start now run longer. The load header
+        reports it as a percentage.
     status : int
-        Of answers to requests that ran.
+        Status code of the responses to requests that ran.
     refuse : bool
-        Answer 503 with the mark that the request was not run.
+        Answer 503 with the header that says that the request was not executed.
     lose_answers : bool
-        Run each request, then reset the connection.
+        Run each request, then close the connection without a response.
     extra_answers : bool
-        Send each answer twice.
+        Send a second response after each response.
     unframed : str
-        Answers without a length: ``"whole"`` end with a close, ``"reset"`` in
-        the middle with a reset.
+        Send responses without a length. With ``"whole"`` the connection is closed after
+        the body, with ``"reset"`` it is reset in the middle of the body.
     healthy : bool
-        What the health path says.
+        Whether the health path answers 200 or 503.
     fatal : frozenset of str
-        Targets that end the server, when their work has lasted ``fatal_seconds``.
+        Request targets that crash the server once they have run for `fatal_seconds`.
     fatal_seconds : float
-        Work until then, before the pace.
+        How long a fatal request runs, before `pace` is applied.
     cold_since, cold_until : float
-        Between these points the server is cold; its health path tells for how long.
+        The period in which the server is cold, in the time of `caperstack.clock.now`. The
+        health path reports the milliseconds that are left of it.
     cold_text : str
-        Told in place of that, if not empty.
+        Reported in place of these milliseconds, if not empty.
     cold_bears : float
-        Requests in a second that end the server while it is cold, if there are more.
+        Requests per second that the server tolerates while it is cold; more crash it.
+        0 for no limit.
+    body : bytes
+        Body of the responses to requests that ran.
     """
 
     seconds: float = 0.0
@@ -68,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A request that ran: when it began, at which instance of which service."""
+    """A request that ran: its id and target, when it started, and where."""
 
     name: str
     at: float
@@ -79,26 +84,30 @@
 
 @dataclass
 class StandinInstance:
-    """One backend server, known by the name of its present instance.
+    """One backend server, registered under the name of its current instance.
 
     Attributes
     ----------
     runs : Counter
         How often each request id ran.
     ledger : list of Run
-        Every run, in order.
+        Every request that ran, in the order of their starts.
     seen : list of dict
         The headers of each request that ran, with its method, target and body.
     born_ms : int
-        When it started, in milliseconds since 1970.
-    broken_off : int
+        Start time of this run of the server, in milliseconds since 1970.
+    cancelled : int
         Requests whose connection closed while they ran.
     misdirected : int
-        Requests that were meant for another instance.
-    overwhelmed : int
-        How often it ended since it was cold and got more than it bears.
-    on_fatal : callable
-        Called with the instance and the target when a request has ended it.
+        Requests that named another instance; they were answered 421.
+    overloaded : int
+        How often the server crashed because it was cold and got more requests than
+        ``behaviour.cold_bears``.
+    running : int
+        Requests that run now.
+    on_crash : callable
+        Called with the instance and the target when a request crashes the server; the
+        target is empty when the crash is due to overload.
     """
 
     address: str
@@ -106,18 +115,18 @@
     name: str
     slots: int = 8
     born_ms: int = 1_790_000_000_000
-    conduct: Conduct = field(default_factory=Conduct)
+    behaviour: Behaviour = field(default_factory=Behaviour)
     runs: Counter = field(default_factory=Counter)
     ledger: list = field(default_factory=list)
     seen: list = field(default_factory=list)
-    broken_off: int = 0
+    cancelled: int = 0
     misdirected: int = 0
-    overwhelmed: int = 0
+    overloaded: int = 0
     running: int = 0
-    on_fatal: object = None
+    on_crash: object = None
 
     async def start(self):
-        """Listen."""
+        """Listen at the address."""
         self._tasks = set()
         self._server = HTTPServer(self._accept, idle_connection_timeout=3600)
         ip, port = self.address.rsplit(":", 1)
@@ -129,19 +138,19 @@
         await self._server.close_all_connections()
 
     async def crash(self):
-        """End at once, with all that it runs."""
+        """Stop at once and cancel all running requests."""
         for task in list(self._tasks):
             task.cancel()
         await self.stop()
 
     async def restart(self):
-        """End with all that it runs, and start again under the same name."""
+        """Crash and start again under the same instance name, with a later start time."""
         await self.crash()
         self.born_ms += 1000
         await self.start()
 
     def entry(self, zone, state="ready"):
-        """Return the document under which the server registers itself."""
+        """Return the document with which the server registers itself in the store."""
         return {
             "address": self.address,
             "info": {"service": self.service, "version": "v1", "zone": zone, "slots": self.slots},
@@ -157,75 +166,80 @@
 
     async def _handle(self, request):
         if request.path == "/health":
-            left = max(0, round(time_left(self.conduct.cold_until) * 1000))
-            text = self.conduct.cold_text or (str(left) if left else "")
-            told = {DIALECT.cold: text} if text else {}
-            self._write(request, 200 if self.conduct.healthy else 503, b"", told)
+            milliseconds = max(0, round(time_left(self.behaviour.cold_until) * 1000))
+            text = self.behaviour.cold_text or (str(milliseconds) if milliseconds else "")
+            headers = {DIALECT.cold: text} if text else {}
+            self._write(request, 200 if self.behaviour.healthy else 503, b"", headers)
         elif request.headers.get(DIALECT.target_instance, self.name) != self.name:
             self.misdirected += 1
             self._write(request, 421, b"", {})
-        elif self.conduct.refuse:
+        elif self.behaviour.refuse:
             self._write(request, 503, b"", {DIALECT.not_executed: "1"})
         else:
             await self._run(request)
 
     async def _run(self, request):
-        name = request.headers.get(DIALECT.request_id, "")
-        self.runs[name] += 1
-        self.ledger.append(Run(name, now(), self.name, self.service, request.uri))
-        seen = dict(request.headers.get_all())
-        if self._overwhelmed():
-            self.overwhelmed += 1
-            self.on_fatal(self, "")
+        request_id = request.headers.get(DIALECT.request_id, "")
+        self.runs[request_id] += 1
+        self.ledger.append(Run(request_id, now(), self.name, self.service, request.uri))
+        headers = dict(request.headers.get_all())
+        if self._is_overloaded():
+            self.overloaded += 1
+            self.on_crash(self, "")
             return
         self.seen.append(
-            seen | {"method": request.method, "target": request.uri, "body": request.body}
+            headers | {"method": request.method, "target": request.uri, "body": request.body}
         )
         self.running += 1
-        fatal = request.uri in self.conduct.fatal
-        seconds = self.conduct.fatal_seconds if fatal else self.conduct.seconds
+        fatal = request.uri in self.behaviour.fatal
+        seconds = self.behaviour.fatal_seconds if fatal else self.behaviour.seconds
         try:
-            await asyncio.sleep(seconds * self.conduct.pace)
+            await asyncio.sleep(seconds * self.behaviour.pace)
         except asyncio.CancelledError:
-            self.broken_off += 1
+            self.cancelled += 1
             raise
         finally:
             self.running -= 1
         if fatal:
-            self.on_fatal(self, request.uri)
+            self.on_crash(self, request.uri)
         else:
             self._answer(request)
 
-    def _overwhelmed(self):
-        """Return whether the server got more in a second than it bears, cold all the while."""
-        if now() >= self.conduct.cold_until or not self.conduct.cold_bears:
+    def _is_overloaded(self):
+        """Return whether the cold server got more requests in the last second than it tolerates."""
+        if now() >= self.behaviour.cold_until or not self.behaviour.cold_bears:
             return False
-        return self.runs_since(max(self.conduct.cold_since, now() - 1.0)) > self.conduct.cold_bears
+        return (
+            self.runs_since(max(self.behaviour.cold_since, now() - 1.0)) > self.behaviour.cold_bears
+        )
 
     def runs_since(self, since):
-        """Return how many requests this instance ran since that point."""
+        """Return how many requests this instance started to run after the time `since`."""
         recent = itertools.takewhile(lambda run: run.at > since, reversed(self.ledger))
         return sum(1 for run in recent if run.instance == self.name)
 
     def _answer(self, request):
-        conduct = self.conduct
-        if conduct.lose_answers:
+        behaviour = self.behaviour
+        if behaviour.lose_answers:
             request.connection.stream.close()
-        elif conduct.unframed:
+        elif behaviour.unframed:
             self._write_unframed(request)
         else:
             self._write(
-                request, conduct.status, conduct.body, {SERVER_SEAL_HEADER: str(len(conduct.body))}
+                request,
+                behaviour.status,
+                behaviour.body,
+                {SERVER_SEAL_HEADER: str(len(behaviour.body))},
             )
 
     def _headers(self, request, more):
         headers = HTTPHeaders(more)
         headers[DIALECT.instance] = self.name
-        percent = round(self.conduct.pace * 100)
+        percent = round(self.behaviour.pace * 100)
         headers[DIALECT.load] = f"{self.running},0,{self.slots},{percent}"
-        name = request.headers.get(DIALECT.request_id)
-        if name:
-            headers[DIALECT.request_id] = name
+        request_id = request.headers.get(DIALECT.request_id)
+        if request_id:
+            headers[DIALECT.request_id] = request_id
         return headers
 
     def _write(self, request, status, body, more):
@@ -234,24 +248,25 @@
         stream = request.connection.stream
         request.connection.write_headers(ResponseStartLine("", status, "Said"), headers, body)
         request.connection.finish()
-        if self.conduct.extra_answers and SERVER_SEAL_HEADER in headers:
+        if self.behaviour.extra_answers and SERVER_SEAL_HEADER in headers:
             head = f"HTTP/1.1 200 OK\r\n{DIALECT.request_id}: {headers[DIALECT.request_id]}\r\n"
             stream.write(
                 f"{head}{SERVER_SEAL_HEADER}: 5\r\nContent-Length: 5\r\n\r\nextra".encode()
             )
 
     def _write_unframed(self, request):
-        headers = self._headers(request, {SERVER_SEAL_HEADER: str(len(self.conduct.body))})
+        headers = self._headers(request, {SERVER_SEAL_HEADER: str(len(self.behaviour.body))})
         head = "".join(f"{name}: {value}\r\n" for name, value in headers.get_all())
-        body = self.conduct.body
-        whole = self.conduct.unframed == "whole"
+        body = self.behaviour.body
+        complete = self.behaviour.unframed == "whole"
         stream = request.connection.stream
-        stream.write(f"HTTP/1.1 200 OK\r\n{head}\r\n".encode() + body[: None if whole else 5])
-        if not whole:
+        stream.write(f"HTTP/1.1 200 OK\r\n{head}\r\n".encode() + body[: None if complete else 5])
+        if not complete:
             _reset_on_close(stream.socket)
         asyncio.get_running_loop().call_later(0.02, stream.close)
 
 
 def _reset_on_close(sock):
-    # A linger time of zero makes the close a reset.
+    # Closing a socket with a linger time of zero sends a reset. 1 and 13 are SOL_SOCKET and
+    # SO_LINGER on Linux.
     sock.setsockopt(1, 13, b"\x01\x00\x00\x00\x00\x00\x00\x00")
--- a/caperstack/platform/standin/store.py
+++ b/caperstack/platform/standin/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store: items with revisions, pages, outages on command."""
+"""A stand-in for the platform's store: paged reads, long-poll watches, and faults on demand."""
 
 import asyncio
 import base64
@@ -12,26 +12,26 @@
 from caperstack.clock import deadline_after, now
 from caperstack.platform.names import STORE_ERA_HEADER
 
-__all__ = ["StandinStore", "StoreCopy", "StoreTroubles"]
+__all__ = ["StandinStore", "StoreCopy", "StoreFaults"]
 
 WATCH_PATH = "/v1/kv-watch"
 
 PAGE_ITEMS = 50
 
 
-class StoreTroubles:
-    """What ails the store, for the readers at one of its addresses.
+class StoreFaults:
+    """Faults of the store for the readers at one of its addresses.
 
     Attributes
     ----------
     status : int
-        Answered to every call, if not 0.
+        Status code with which every call is refused, if not 0.
     silent : bool
-        Calls get no answer at all.
+        Calls are never answered.
     cut : bool
-        The connection is closed in place of an answer.
+        The connection is closed instead of a response.
     delay_seconds : float
-        Answers wait so long.
+        Delay of each response.
     """
 
     def __init__(self):
@@ -43,27 +43,29 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreCopy:
-    """What the store held at a revision, from which it may come back."""
+    """The items of the store at a revision, from which it can be restored."""
 
     items: dict
     revision: int
 
 
 class StandinStore:
-    """One set of items, served at several addresses, so that some readers can be refused.
+    """One set of items, served at several addresses so that faults can affect some readers only.
 
     Attributes
     ----------
     calls : int
-        Calls that came, refused ones included.
+        Calls received, including those that failed.
     served : int
-        Calls that were answered with items.
+        Range reads that were answered with items.
     watching : int
-        Calls that wait for a change now.
-    troubles : dict of str to StoreTroubles
-        By address.
+        Long-poll watches that wait for a change now.
+    faults : dict of str to StoreFaults
+        The faults by address.
     era : int
-        How often the store came back from a copy.
+        How often the store was restored from a copy.
+    history_since : int
+        The revision since which changes are kept; watches from before it are answered 410.
     """
 
     def __init__(self, addresses, page_items=PAGE_ITEMS):
@@ -77,7 +79,7 @@
         self.era = 0
         self.calls = 0
         self.served = 0
-        self.troubles = {address: StoreTroubles() for address in addresses}
+        self.faults = {address: StoreFaults() for address in addresses}
         self._changes = []
         self._changed = asyncio.Event()
         self.history_since = 0
@@ -85,7 +87,7 @@
 
     async def start(self):
         """Listen at all addresses."""
-        for address in self.troubles:
+        for address in self.faults:
             server = HTTPServer(self._handler(address))
             ip, port = address.rsplit(":", 1)
             server.listen(int(port), ip)
@@ -98,7 +100,7 @@
             await server.close_all_connections()
 
     def put(self, key, document):
-        """Write an item, as operators and backend servers do; return its revision."""
+        """Write an item as JSON, as operators and backend servers do, and return its revision."""
         return self._put_value(key, base64.b64encode(json.dumps(document).encode()).decode())
 
     def _put_value(self, key, value):
@@ -111,26 +113,29 @@
             "created": created,
             "lease": 0,
         }
-        self._note(self._items[key])
+        self._record_change(self._items[key])
         return self._revision
 
     def put_raw(self, key, data):
-        """Write bytes that are no document."""
+        """Write an item whose value is `data`, which need not be valid JSON."""
         self.put(key, None)
         self._items[key]["value"] = base64.b64encode(data).decode()
 
     def remove(self, key):
-        """Take an item away."""
+        """Delete an item."""
         self._revision += 1
         self._items.pop(key, None)
-        self._note({"key": key, "revision": self._revision, "deleted": True})
+        self._record_change({"key": key, "revision": self._revision, "deleted": True})
 
     def copy(self):
-        """Return a copy of what the store holds now."""
+        """Return a copy of the current items and revision."""
         return StoreCopy(dict(self._items), self._revision)
 
-    def come_back_from(self, copy):
-        """Lose all that was written after `copy`; its revisions are given out again."""
+    def restore_from(self, copy):
+        """Restore the store from `copy`.
+
+        Later writes are lost and their revision numbers are assigned again.
+        """
         self.era += 1
         self._lost = self._items
         self._copy = copy.items
@@ -139,8 +144,8 @@
         self._changes = [c for c in self._changes if c["revision"] <= copy.revision]
         self._wake_watches()
 
-    def write_again(self):
-        """Write what was lost again, unless another write has come to its key."""
+    def rewrite_lost(self):
+        """Write lost changes again, except for keys written since the restore."""
         for key in sorted(self._lost.keys() | self._copy.keys()):
             lost, copied = self._lost.get(key), self._copy.get(key)
             if lost is copied or self._items.get(key) is not copied:
@@ -151,7 +156,7 @@
                 self._put_value(key, lost["value"])
         self._lost = self._copy = {}
 
-    def _note(self, change):
+    def _record_change(self, change):
         self._changes.append(change)
         self._wake_watches()
 
@@ -160,28 +165,28 @@
         self._changed = asyncio.Event()
 
     def drop_history(self):
-        """Forget all changes so far: watches are cut, and older ones can't go on."""
+        """Drop all changes so far: watches from earlier revisions are answered 410."""
         self.history_since = self._revision
         self._changes.clear()
         self._wake_watches()
 
     def _handler(self, address):
         def handle(request):
-            task = asyncio.create_task(self._answer(request, self.troubles[address]))
+            task = asyncio.create_task(self._answer(request, self.faults[address]))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
         return handle
 
-    async def _answer(self, request, troubles):
+    async def _answer(self, request, faults):
         self.calls += 1
-        if troubles.silent:
+        if faults.silent:
             return
-        await asyncio.sleep(troubles.delay_seconds)
-        if troubles.cut:
+        await asyncio.sleep(faults.delay_seconds)
+        if faults.cut:
             request.connection.stream.close()
             return
-        status, document = troubles.status, {"error": "busy"}
+        status, document = faults.status, {"error": "busy"}
         if not status and request.path == WATCH_PATH:
             self.watching += 1
             try:
@@ -219,7 +224,7 @@
         era = self.era
         while True:
             if era != self.era:
-                # The connections of the store that was lost are lost with it.
+                # The store was restored meanwhile: connections to the lost one are closed.
                 return 0, None
             if after < self.history_since or after > self._revision:
                 return 410, {"error": "history is gone"}
--- a/caperstack/platform/tests/test_restore.py
+++ b/caperstack/platform/tests/test_restore.py
@@ -13,7 +13,7 @@
 from caperstack.platform.entries import ServerEntry, decode_entry
 from caperstack.platform.names import CONFIGURATION_KEY
 from caperstack.platform.standin.fleet import configuration, route_row
-from caperstack.platform.standin.growth import SERVICES, GrowthFleet
+from caperstack.platform.standin.simulation import SERVICES, SimulatedFleet
 from caperstack.platform.standin.store import StandinStore, StoreCopy
 from caperstack.platform.store import StoreClient, StoreItem, StoreRead
 from caperstack.platform.tests.fleetcase import FleetCase
@@ -296,7 +296,7 @@
         for _ in range(3):
             self.store.put("a", 1)
         before = await self.client.read("a")
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         self.store.put("a", 2)
         after = await self.client.read("a")
         self.assertGreater(after.revision, before.revision)
@@ -308,7 +308,7 @@
         copy = self.store.copy()
         self.store.put("a", 1)
         revision = (await self.client.read("a")).revision
-        self.store.come_back_from(copy)
+        self.store.restore_from(copy)
         for value in (2, 3):
             self.store.put("a", value)
         with self.assertRaises(HistoryError):
@@ -331,7 +331,7 @@
 
         async def page_then_restore(*arguments):
             answer = await page(*arguments)
-            self.store.come_back_from(copy)
+            self.store.restore_from(copy)
             return answer
 
         self.client._page = page_then_restore
@@ -362,7 +362,7 @@
         await self.add_route("/one/")
         await self.add_route("/two/")
         await self.fleet.restore_store(copy)
-        self.fleet.configure_again()
+        self.fleet.rewrite_configuration()
         await asyncio.sleep(1.0)
         await self.add_route("/three/")
         await self.add_route("/four/")
@@ -394,14 +394,14 @@
 async def _propagation_seconds_after_restore(size, rests):
     """Return how long each of several versions takes to reach all nodes, in seconds."""
     random.seed(size)
-    fleet = GrowthFleet(size)
+    fleet = SimulatedFleet(size)
     await fleet.start()
     await asyncio.sleep(8.0)
     copy = fleet.store.copy()
     for version in (2, 3, 4):
         fleet.store.put(CONFIGURATION_KEY, configuration(version, [], SERVICES))
         await asyncio.sleep(1.0)
-    fleet.store.come_back_from(copy)
+    fleet.store.restore_from(copy)
     await asyncio.sleep(1.0)
     fleet.store.put(CONFIGURATION_KEY, configuration(4, [], SERVICES))
     seconds = []
@@ -419,7 +419,7 @@
     One node starts after the restore.
     """
     random.seed(size)
-    fleet = GrowthFleet(size)
+    fleet = SimulatedFleet(size)
     await fleet.start()
     await asyncio.sleep(8.0)
     copy = fleet.store.copy()
@@ -429,7 +429,7 @@
         await asyncio.sleep(1.0)
         fleet.register(*place)
         await asyncio.sleep(1.0)
-    fleet.store.come_back_from(copy)
+    fleet.store.restore_from(copy)
     fleet.register(*place)
     started = fleet.places[1][0]
     await fleet.kill(started)
@@ -459,7 +459,7 @@
     writes its entry again 2.2 s later.
     """
     random.seed(size)
-    fleet = GrowthFleet(size)
+    fleet = SimulatedFleet(size)
     await fleet.start()
     await asyncio.sleep(8.0)
     place = fleet.places[-1]
@@ -467,7 +467,7 @@
     fleet.register(*place, slots=9)
     await asyncio.sleep(3.0)
     lost = StoreCopy({k: v for k, v in copy.items.items() if place[0] not in k}, copy.revision)
-    fleet.store.come_back_from(lost)
+    fleet.store.restore_from(lost)
     started = _first_reader(fleet).here.host
     await fleet.kill(started)
     await fleet.start_node(started)
@@ -485,10 +485,10 @@
 async def _deletion_propagation_seconds(size):
     """Return how long the deletion of an entry 5.2 s after a restore takes to reach all nodes."""
     random.seed(size)
-    fleet = GrowthFleet(size)
+    fleet = SimulatedFleet(size)
     await fleet.start()
     await asyncio.sleep(8.0)
-    fleet.store.come_back_from(fleet.store.copy())
+    fleet.store.restore_from(fleet.store.copy())
     # The node of the lowest rank does not read until just before the deletion.
     _first_reader(fleet).reader._resume_at = now() + 5.0
     await asyncio.sleep(5.2)
--- a/caperstack/platform/tests/test_suspect_growth.py
+++ b/caperstack/platform/tests/test_suspect_growth.py
@@ -1,4 +1,4 @@
-"""How suspects are told in a fleet that grows, in virtual time."""
+"""Exchange of suspect requests in fleets of increasing size, in virtual time."""
 
 import asyncio
 import functools
@@ -6,45 +6,59 @@
 import unittest
 
 from caperstack.calls.fingerprint import Fingerprint
-from caperstack.platform.standin.growth import GrowthFleet, Node
+from caperstack.platform.standin.simulation import Node, SimulatedFleet
 from caperstack.play.virtual import run_virtual
 from caperstack.quarantine.suspects import Verdict
 
 SIZES = (30, 100, 300)
 
 FATAL = Fingerprint(1, 1)
-BYSTANDERS = [Fingerprint(2 + number, 1) for number in range(7)]
+OTHER_REQUESTS = [Fingerprint(2 + number, 1) for number in range(7)]
 
-#: Within so many seconds of its third end a request is kept away everywhere.
-TOLD_SECONDS = 0.5
+#: Longest time from the third crash that a request caused until every node quarantines it.
+PROPAGATION_SECONDS = 0.5
 
-#: Messages a node may send for one end, however large the fleet is.
-MESSAGES_MOST = 16
+#: Mean number of messages that a node may send for one crash, whatever the fleet's size.
+MAX_MESSAGES_PER_NODE = 16
 
 
-async def _told(size):
-    """Return messages and bytes a node for each of three ends, and what all nodes hold then."""
+async def _measure_suspicions(size):
+    """Report three crashes in a fleet of `size` hosts and return what the nodes sent and know.
+
+    Returns
+    -------
+    figures : list of tuple of (float, float)
+        Messages and bytes per node for each crash.
+    verdicts : set of Verdict
+        Verdicts of all nodes on the fatal request.
+    cleared : set of Verdict
+        Verdicts of all nodes on a request that completed afterwards.
+    verdict : Verdict
+        Verdict of a node that was started last on the fatal request.
+    """
     random.seed(size)
-    fleet = GrowthFleet(size)
+    fleet = SimulatedFleet(size)
     task = asyncio.create_task(fleet.start())
     await asyncio.sleep(10.0)
     await task
     figures = []
     for number in range(3):
         node = fleet.nodes[number * size // 3]
-        node.suspects.record_crash(100 + number, [FATAL, *BYSTANDERS])
-        traffic, _ = await fleet.measure(TOLD_SECONDS)
-        messages, sent = (c["Suspicions"] / size for c in (traffic.messages, traffic.sizes))
-        figures.append((messages, sent))
+        node.suspects.record_crash(100 + number, [FATAL, *OTHER_REQUESTS])
+        traffic, _ = await fleet.measure(PROPAGATION_SECONDS)
+        messages_by_kind, sent = (
+            c["Suspicions"] / size for c in (traffic.messages_by_kind, traffic.bytes_by_kind)
+        )
+        figures.append((messages_by_kind, sent))
     verdicts = {node.suspects.verdict(FATAL) for node in fleet.nodes}
-    fleet.nodes[1].suspects.record_completion(BYSTANDERS[0])
-    traffic, _ = await fleet.measure(TOLD_SECONDS)
-    cleared = {node.suspects.verdict(BYSTANDERS[0]) for node in fleet.nodes}
+    fleet.nodes[1].suspects.record_completion(OTHER_REQUESTS[0])
+    traffic, _ = await fleet.measure(PROPAGATION_SECONDS)
+    cleared = {node.suspects.verdict(OTHER_REQUESTS[0]) for node in fleet.nodes}
     started = Node(fleet, *fleet.places[0])
     await fleet.nodes[0].stop()
     fleet._nodes[started.here.host] = started
     await started.start()
-    # It reads the store, is asked for something, and waits for a peer.
+    # The node has read the store and gets a call, for which it waits until a peer has answered.
     while not started.settings.known:
         await asyncio.sleep(0.001)
     await started.sync.wait_for_agreement()
@@ -54,32 +68,32 @@
 
 
 @functools.cache
-def told(size):
-    """Return what became of three ends in a fleet of that size."""
-    return run_virtual(lambda: _told(size))
+def suspicion_results(size):
+    """Return the result of `_measure_suspicions` for a fleet of `size` hosts."""
+    return run_virtual(lambda: _measure_suspicions(size))
 
 
-class TestSuspectsOfAFleet(unittest.TestCase):
-    """`SuspectExchange` over the fleet's own connections."""
+class TestSuspectExchangeInAFleet(unittest.TestCase):
+    """`SuspectExchange` over the connections of a simulated fleet."""
 
     def test_each_node_sends_a_bounded_number_of_messages(self):
-        # A service of hundreds of servers loses one after the other; were each
-        # end told by each node to all others, the square of the fleet would go
-        # round for each.
+        # A service with hundreds of servers loses one after the other. If each node told
+        # all others of each crash, the messages per crash would grow with the square of
+        # the fleet's size.
         for size in SIZES:
-            figures, _, _, _ = told(size)
-            for messages, _sent in figures:
-                self.assertLessEqual(messages, MESSAGES_MOST, (size, figures))
+            figures, _, _, _ = suspicion_results(size)
+            for messages_by_kind, _sent in figures:
+                self.assertLessEqual(messages_by_kind, MAX_MESSAGES_PER_NODE, (size, figures))
 
-    def test_all_nodes_hold_the_same_soon(self):
+    def test_all_nodes_agree_on_verdicts_in_time(self):
         for size in SIZES:
-            _, verdicts, cleared, _ = told(size)
+            _, verdicts, cleared, _ = suspicion_results(size)
             self.assertEqual(verdicts, {Verdict.QUARANTINED}, size)
             self.assertEqual(cleared, {Verdict.FREE}, size)
 
-    def test_node_that_has_started_knows_what_is_kept_away(self):
-        # Failure: a node starts, serves callers, and sends on a request that all
-        # others keep away.  It hears of it before it agrees with a neighbour on
-        # the settings, without which it serves nobody.
+    def test_started_node_knows_quarantined_requests(self):
+        # Guards against a started node that sends on a request which all others
+        # quarantine. It learns of the quarantine before it agrees with a neighbour on the
+        # settings, and serves no caller before it has agreed.
         for size in SIZES:
-            self.assertEqual(told(size)[3], Verdict.QUARANTINED, size)
+            self.assertEqual(suspicion_results(size)[3], Verdict.QUARANTINED, size)
--- a/caperstack/soak/checks.py
+++ b/caperstack/soak/checks.py
@@ -53,9 +53,9 @@
     broken["after leaving"] = list(_runs_after_departure(state))
     broken["evacuated zone"] = list(_runs_in_evacuated_zone(state))
     broken["cold server spared"] = [
-        f"{host.ip} {host.instance.overwhelmed} times"
+        f"{host.ip} {host.instance.overloaded} times"
         for host in state.fleet.hosts
-        if host.instance.overwhelmed
+        if host.instance.overloaded
     ]
     broken["fatal request kept away"] = list(_fatal_requests_not_blocked(state, runs))
     broken["node"] = list(state.problems)
@@ -135,11 +135,11 @@
     """Yield the targets that were still sent to servers after they had crashed three."""
     period_limits = [0.0, *sorted(state.kill_all_times), float("inf")]
     for target in state.fatal:
-        ends = sorted(end.at for end in state.fleet.ends if end.target == target)
+        crashes = sorted(end.at for end in state.fleet.crashes if end.target == target)
         sends = [run for own in runs.values() for run in own if run.target == target]
         for begin, end in pairwise(period_limits):
             # Killing all nodes loses what they knew, so crashes count from there anew.
-            own_crash_times = [at for at in ends if begin < at <= end]
+            own_crash_times = [at for at in crashes if begin < at <= end]
             unblocked = [
                 run
                 for run in sends
@@ -149,9 +149,9 @@
                 yield f"{target} {len(unblocked)} times, {len(own_crash_times)} crashed"
 
 
-def _must_be_blocked(state, run, ends):
+def _must_be_blocked(state, run, crashes):
     """Return whether the node beside the server should have blocked a fatal request."""
     settled = BLOCKED_AFTER_SECONDS + SCHEDULING_SLACK_SECONDS
     host = next(h.ip for h in state.fleet.hosts if run in h.instance.ledger)
     unaffected = not state.fault_active(run.at - settled, run.at, host, store=False)
-    return unaffected and len(ends) >= 3 and run.at > ends[2] + settled
+    return unaffected and len(crashes) >= 3 and run.at > crashes[2] + settled
--- a/caperstack/soak/client.py
+++ b/caperstack/soak/client.py
@@ -51,7 +51,7 @@
     host = state.random_host()
     begun = now()
     method = "POST" if at_most_once else "GET"
-    name = state.fleet.new_name()
+    name = state.fleet.new_request_id()
     try:
         _, reply = await state.fleet.ask(host, path, method, name=name)
         code, complete = reply.code, reply.body == BODY
--- a/caperstack/soak/faults.py
+++ b/caperstack/soak/faults.py
@@ -102,16 +102,16 @@
 
 def _store_fault(**settings):
     async def fault(state):
-        addresses = list(state.fleet.store.troubles)
+        addresses = list(state.fleet.store.faults)
         chosen = addresses if state.rng.random() < 0.5 else addresses[:1]
         for address in chosen:
             for name, value in settings.items():
-                setattr(state.fleet.store.troubles[address], name, value)
+                setattr(state.fleet.store.faults[address], name, value)
         windows = [state.open_window(host, process=False) for host in state.fleet.hosts]
         await asyncio.sleep(state.rng.uniform(1.0, 5.0))
         for address in chosen:
             for name, value in settings.items():
-                setattr(state.fleet.store.troubles[address], name, type(value)())
+                setattr(state.fleet.store.faults[address], name, type(value)())
         await asyncio.sleep(STORE_RECOVERY_SECONDS)
         for window in windows:
             window.end = now()
@@ -130,7 +130,7 @@
     windows = [state.open_window(host, process=False) for host in state.fleet.hosts]
     await state.fleet.restore_store(copy, state.rng.uniform(0.1, 1.5))
     await asyncio.sleep(state.rng.uniform(0.0, 0.5))
-    state.fleet.store.write_again()
+    state.fleet.store.rewrite_lost()
     await _move_path(state, 1)
     await asyncio.sleep(STORE_RECOVERY_SECONDS)
     for window in windows:
@@ -157,7 +157,7 @@
     """Repeat a request that crashes every server which runs it, at random nodes."""
     target = f"/listings/fatal-{next(_fatal_numbers)}"
     for host in state.fleet.hosts:
-        host.instance.conduct.fatal |= {target}
+        host.instance.behaviour.fatal |= {target}
     state.fatal.append(target)
     tasks = []
     until = now() + FATAL_SECONDS
@@ -183,7 +183,7 @@
     for host in state.fleet.hosts:
         if host.zone == zone:
             _make_cold(host)
-    state.fleet.take_back(zone)
+    state.fleet.end_evacuation(zone)
     await asyncio.sleep(COLD_SECONDS)
 
 
@@ -194,21 +194,21 @@
 
 
 def _make_cold(host):
-    conduct = host.instance.conduct
-    conduct.cold_since = now()
-    conduct.cold_until = now() + COLD_SECONDS
-    conduct.cold_bears = COLD_CAPACITY_PER_SECOND
+    behaviour = host.instance.behaviour
+    behaviour.cold_since = now()
+    behaviour.cold_until = now() + COLD_SECONDS
+    behaviour.cold_bears = COLD_CAPACITY_PER_SECOND
 
 
 def _server_fault(seconds, **behaviour):
     async def fault(state):
-        conduct = state.random_host().instance.conduct
-        defaults = {name: getattr(type(conduct)(), name) for name in behaviour}
+        behaviour = state.random_host().instance.behaviour
+        defaults = {name: getattr(type(behaviour)(), name) for name in behaviour}
         for name, value in behaviour.items():
-            setattr(conduct, name, value)
+            setattr(behaviour, name, value)
         await asyncio.sleep(seconds)
         for name, value in defaults.items():
-            setattr(conduct, name, value)
+            setattr(behaviour, name, value)
 
     fault.__doc__ = f"A backend server is faulty: {behaviour}."
     return fault
--- a/caperstack/soak/platform.py
+++ b/caperstack/soak/platform.py
@@ -130,7 +130,7 @@
     fleet.cold_per_second = COLD_TOLERATED_PER_SECOND
     async with fleet:
         for host in fleet.hosts:
-            host.instance.conduct.seconds = WORK_SECONDS
+            host.instance.behaviour.seconds = WORK_SECONDS
         state = SoakState(fleet, rng, now())
         state.configurations.append(Change(0.0, "/moving/", "listings"))
         until = now() + seconds
--- a/caperstack/soak/tests/test_checks.py
+++ b/caperstack/soak/tests/test_checks.py
@@ -6,7 +6,7 @@
 import unittest
 from types import SimpleNamespace
 
-from caperstack.platform.standin.fleet import ServerEnd
+from caperstack.platform.standin.fleet import ServerCrash
 from caperstack.platform.standin.instance import Run
 from caperstack.soak.checks import (
     CONNECTION_CLOSED,
@@ -23,9 +23,9 @@
 
     def setUp(self):
         self.ledger = []
-        instance = SimpleNamespace(ledger=self.ledger, overwhelmed=0)
+        instance = SimpleNamespace(ledger=self.ledger, overloaded=0)
         host = SimpleNamespace(ip="h1", zone="a", instance=instance)
-        self.fleet = SimpleNamespace(hosts=[host], ends=[])
+        self.fleet = SimpleNamespace(hosts=[host], crashes=[])
         self.state = SoakState(self.fleet, random.Random(1), 0.0)
 
     def run_once(self, name="r", at=10.0, instance="i1", service="bookings", target="/bookings/"):
@@ -70,7 +70,7 @@
         # They are excused only if a fault has affected the process of the node.
         target = "/listings/fatal"
         self.state.fatal.append(target)
-        self.fleet.ends += [ServerEnd(float(at), f"i{at}", target) for at in (1, 2, 3)]
+        self.fleet.crashes += [ServerCrash(float(at), f"i{at}", target) for at in (1, 2, 3)]
         for number in range(4):
             self.run_once(f"r{number}", 8.0 + number / 10, "i4", "listings", target)
         requests = [
@@ -91,7 +91,7 @@
         # servers may crash before the request is blocked again.
         target = "/listings/fatal"
         self.state.fatal.append(target)
-        self.fleet.ends += [ServerEnd(float(at), f"i{at}", target) for at in (1, 2, 3)]
+        self.fleet.crashes += [ServerCrash(float(at), f"i{at}", target) for at in (1, 2, 3)]
         self.state.kill_all_times.append(4.0)
         for number in range(4):
             self.run_once(f"r{number}", 8.0 + number / 10, "i4", "listings", target)
@@ -141,7 +141,7 @@
 
     def test_overload_of_a_cold_server_is_found(self):
         self.run_once()
-        self.fleet.hosts[0].instance.overwhelmed = 1
+        self.fleet.hosts[0].instance.overloaded = 1
         self.assertEqual(self.broken(), {"cold server spared"})
 
     def test_bad_exit_of_a_node_is_found(self):
