--- a/caperstack/play/callers.py
+++ b/caperstack/play/callers.py
@@ -7,21 +7,21 @@
 from caperstack.calls.model import Answered, NotRun
 from caperstack.clock import deadline_after, now, time_left
 
-__all__ = ["Callers", "Ended"]
+__all__ = ["Callers", "RequestResult"]
 
 #: Callers honour a Retry-After up to this share of the time that they have left,
 #: and come back after so many seconds where they are told nothing.
-HONOURED_SHARE = 1 / 3
-UNTOLD_SECONDS = 0.05
+MAX_RETRY_DELAY_SHARE = 1 / 3
+DEFAULT_RETRY_DELAY_SECONDS = 0.05
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class RequestResult:
     """How one caller's request ended, all tries together.
 
     Attributes
     ----------
-    begun_at : float
+    started_at : float
         When the first try went out.
     seconds : float
         From the first try to the end.
@@ -32,7 +32,7 @@
     """
 
     kind: object
-    begun_at: float
+    started_at: float
     seconds: float
     code: int
     tries: int
@@ -63,7 +63,7 @@
         self._fleet = fleet
         self._number = 0
         self.factor = 1.0
-        self.ended = []
+        self.results = []
 
     async def run(self):
         """Send until the scenario's end and wait for the last answers."""
@@ -78,27 +78,29 @@
         end = deadline_after(self._scenario.seconds)
         while now() < end:
             await asyncio.sleep(rng.expovariate(kind.per_second * self.factor))
-            group.create_task(self._ask(kind))
+            group.create_task(self._send_with_retries(kind))
 
-    async def _ask(self, kind):
+    async def _send_with_retries(self, kind):
         begun = now()
         deadline = deadline_after(kind.patience_ms / 1000)
         code, tries = 0, 0
         while tries <= kind.retries and time_left(deadline) > 0:
             tries += 1
-            outcome = await self._try(kind, deadline, begun + kind.objective_ms / 1000)
-            code = _code(outcome)
+            outcome = await self._send_attempt(kind, deadline, begun + kind.objective_ms / 1000)
+            code = _status_of(outcome)
             if code == 200 or not (kind.idempotent or isinstance(outcome, NotRun)):
                 break
-            told = outcome.retry_after if isinstance(outcome, NotRun) else UNTOLD_SECONDS
-            await asyncio.sleep(min(told, HONOURED_SHARE * max(0.0, time_left(deadline))))
-        self.ended.append(Ended(kind, begun, now() - begun, code, tries))
+            told = (
+                outcome.retry_after if isinstance(outcome, NotRun) else DEFAULT_RETRY_DELAY_SECONDS
+            )
+            await asyncio.sleep(min(told, MAX_RETRY_DELAY_SHARE * max(0.0, time_left(deadline))))
+        self.results.append(RequestResult(kind, begun, now() - begun, code, tries))
 
-    async def _try(self, kind, deadline, objective_at):
+    async def _send_attempt(self, kind, deadline, objective_at):
         self._number += 1
-        host = self._fleet.any_host()
+        host = self._fleet.random_host()
         return await host.dispatch(kind, f"{self._number:08x}", deadline, objective_at)
 
 
-def _code(outcome):
+def _status_of(outcome):
     return outcome.status if isinstance(outcome, Answered) else getattr(outcome, "status", 502)
--- a/caperstack/play/fleet.py
+++ b/caperstack/play/fleet.py
@@ -59,11 +59,11 @@
         host = None
 
         async def nested(kind, call):
-            return await self._nested(host, kind, call)
+            return await self._call_nested(host, kind, call)
 
         work_rng = random.Random(f"{self._scenario.seed} {name} work")
-        visits_rng = random.Random(f"{self._scenario.seed} {name} visits")
-        server = ModelServer(service, self._kind_of, nested, work_rng, visits_rng)
+        neighbour_rng = random.Random(f"{self._scenario.seed} {name} visits")
+        server = ModelServer(service, self._kind_of, nested, work_rng, neighbour_rng)
         zone = self._scenario.zone_names[number % self._scenario.zones]
         host = PlayHost(name, zone, service, server, self._options)
         return host
@@ -71,23 +71,23 @@
     def _kind_of(self, call):
         return self._scenario.kind(call.route)
 
-    async def _nested(self, host, kind, call):
+    async def _call_nested(self, host, kind, call):
         made = [nested for nested in kind.calls if self._rng.random() < nested.share]
-        asked = [self._ask_all(host, nested, call) for nested in made]
+        asked = [self._call_repeatedly(host, nested, call) for nested in made]
         return all(await asyncio.gather(*asked))
 
-    async def _ask_all(self, host, nested, call):
+    async def _call_repeatedly(self, host, nested, call):
         """Return whether all calls of one kind were answered."""
         kind = self._scenario.kind(nested.kind)
         if nested.in_turn:
             for _ in range(nested.times):
-                if not _good(await self._ask_nested(host, kind, call)):
+                if not _succeeded(await self._call_once(host, kind, call)):
                     return False
             return True
-        asked = [self._ask_nested(host, kind, call) for _ in range(nested.times)]
-        return all(_good(outcome) for outcome in await asyncio.gather(*asked))
+        asked = [self._call_once(host, kind, call) for _ in range(nested.times)]
+        return all(_succeeded(outcome) for outcome in await asyncio.gather(*asked))
 
-    async def _ask_nested(self, host, kind, call):
+    async def _call_once(self, host, kind, call):
         deadline = min(call.deadline, deadline_after(kind.patience_ms / 1000))
         name = f"{call.request_id}.{self._rng.getrandbits(32):08x}"
         return await host.dispatch(kind, name, deadline, deadline_after(kind.objective_ms / 1000))
@@ -96,33 +96,33 @@
         """Start all nodes, and let them know each other."""
         for host in self.hosts:
             await host.start()
-        self._join()
+        self._connect_hosts()
 
     async def stop(self):
         """Stop all nodes."""
         for host in self.hosts:
             await host.stop()
 
-    def _join(self):
+    def _connect_hosts(self):
         for host in self.hosts:
-            host.join(self.hosts, self._scenario.zone_ms / 1000)
+            host.connect(self.hosts, self._scenario.zone_ms / 1000)
 
-    def any_host(self):
+    def random_host(self):
         """Return the host at which a caller asks."""
         return self._rng.choice(self.hosts)
 
-    async def lose(self, service, count):
+    async def remove_servers(self, service, count):
         """Take servers away for good, with their hosts."""
         for host in [h for h in self.hosts if h.service.name == service][:count]:
-            host.server.lost = True
+            host.server.is_down = True
             self.hosts.remove(host)
             await host.stop()
-        self._join()
+        self._connect_hosts()
 
-    def chill(self, service, count):
+    def make_cold(self, service, count):
         """Let servers of a service turn cold."""
         for host in [h for h in self.hosts if h.service.name == service][:count]:
-            host.server.chill()
+            host.server.make_cold()
 
     async def evacuate(self, zone, seconds):
         """Let a zone get no new calls for some seconds; its servers are cold at the end."""
@@ -131,10 +131,10 @@
         await asyncio.sleep(seconds)
         for host in self.hosts:
             if host.zone == zone:
-                host.server.chill()
+                host.server.make_cold()
             host.evacuate(frozenset())
 
-    async def ail(self, event):
+    async def inject_fault(self, event):
         """Let servers of a service have the fault of `event` for its time."""
         ailing = [h.server for h in self.hosts if h.service.name == event.service][: event.count]
         for server in ailing:
@@ -151,5 +151,5 @@
         await self.start()
 
 
-def _good(outcome):
+def _succeeded(outcome):
     return isinstance(outcome, Answered) and outcome.status == 200
--- a/caperstack/play/hosts.py
+++ b/caperstack/play/hosts.py
@@ -21,17 +21,17 @@
 __all__ = ["PlayHost"]
 
 #: One way between hosts of a zone, in seconds.
-NEAR_SECONDS = 0.0002
+ZONE_LATENCY_SECONDS = 0.0002
 
 #: Addresses are never used, and all hosts are of one region.
-NOWHERE = "127.0.0.1:1"
+UNUSED_ADDRESS = "127.0.0.1:1"
 REGION = "r"
 
 #: How often an owner's crowding is told, in seconds.
-TELL_SECONDS = 0.3
+LOAD_UPDATE_SECONDS = 0.3
 
 
-class _NoPauses:
+class _NoPauseDetector:
     """Nothing is ever suspended in a play."""
 
     async def start(self, kernel):
@@ -45,7 +45,7 @@
         return False
 
 
-class _OneSetting:
+class _FixedSettings:
     """The same settings for every service."""
 
     def __init__(self, policy):
@@ -62,7 +62,7 @@
         return self._service
 
 
-class _FarOwner:
+class _RemoteOwner:
     """The way to the owner of another host, with the time it takes."""
 
     usable = True
@@ -73,14 +73,16 @@
         self._seconds = seconds
         self._counts = counts
         self._interest = Interest()
-        owner.listen(self._tell_changed)
+        owner.listen(self._send_changed_load)
 
     async def run(self, call):
         """Return the outcome of `call`, with the way there and back."""
-        self._counts["calls in the zone" if self._seconds == NEAR_SECONDS else "calls out"] += 1
+        self._counts[
+            "calls in the zone" if self._seconds == ZONE_LATENCY_SECONDS else "calls out"
+        ] += 1
         self._interest.called()
         await asyncio.sleep(self._seconds)
-        outcome = await self._owner.run(copy.copy(call), self._tell_later)
+        outcome = await self._owner.run(copy.copy(call), self._send_load)
         load = self._owner.load
         self._interest.told(load)
         await asyncio.sleep(self._seconds)
@@ -93,11 +95,11 @@
     def touch(self):
         """Nothing to open."""
 
-    def _tell_changed(self):
+    def _send_changed_load(self):
         if self._interest.wants(self._owner.load):
-            self._tell_later()
+            self._send_load()
 
-    def _tell_later(self):
+    def _send_load(self):
         self._counts["loads told"] += 1
         load = self._owner.load
         self._interest.told(load)
@@ -121,15 +123,19 @@
     async def start(self):
         """Start the node with no memory."""
         scenario = self._options.scenario
-        backend = Backend(NOWHERE, self.service.name, self.service.slots, scenario.slots_share, 1)
-        here = Here(self.name, self.zone, REGION, NOWHERE, NOWHERE, NOWHERE, backend)
+        backend = Backend(
+            UNUSED_ADDRESS, self.service.name, self.service.slots, scenario.slots_share, 1
+        )
+        here = Here(
+            self.name, self.zone, REGION, UNUSED_ADDRESS, UNUSED_ADDRESS, UNUSED_ADDRESS, backend
+        )
         self.kernel = kernel = Kernel()
         allowance = self._options.allowance
         rng = self._options.rng
         kernel.register("metrics", Metrics(self.name))
         kernel.register("events", EventRing(self.name, self._options.log, 1))
-        kernel.register("pauses", _NoPauses())
-        kernel.register("settings", _OneSetting(self._options.policy))
+        kernel.register("pauses", _NoPauseDetector())
+        kernel.register("settings", _FixedSettings(self._options.policy))
         kernel.register("members", Members(here))
         kernel.register("backend client", self.server)
         kernel.register("suspects", Suspects())
@@ -139,7 +145,10 @@
         kernel.register("dispatcher", Dispatcher(here, rng, allowance))
         await kernel.start()
         self.owner.set_cold_limit(self.service.cold_bears, self.service.cold_seconds)
-        self._tasks = [asyncio.create_task(self.server.visits()), asyncio.create_task(self._tell())]
+        self._tasks = [
+            asyncio.create_task(self.server.run_neighbour()),
+            asyncio.create_task(self._send_load_updates()),
+        ]
 
     async def stop(self):
         """Stop the node as a kill does."""
@@ -152,27 +161,29 @@
         """The owner beside the server."""
         return self.kernel.find("owner")
 
-    def join(self, hosts, zone_seconds):
+    def connect(self, hosts, zone_seconds):
         """Know `hosts` and the ways to them."""
         members = self.kernel.find("members")
-        members.take_list(HostEntry(h.name, h.zone, REGION, h.service.name, NOWHERE) for h in hosts)
+        members.take_list(
+            HostEntry(h.name, h.zone, REGION, h.service.name, UNUSED_ADDRESS) for h in hosts
+        )
         for host in hosts:
             member = members.find(host.name)
             if host is self:
                 member.owner = LocalOwner(self.owner)
                 continue
-            way = NEAR_SECONDS if host.zone == self.zone else zone_seconds
-            member.owner = _FarOwner(host.owner, member, way, self._options.counts)
+            way = ZONE_LATENCY_SECONDS if host.zone == self.zone else zone_seconds
+            member.owner = _RemoteOwner(host.owner, member, way, self._options.counts)
 
     def evacuate(self, zones):
         """No new calls go to `zones` from now on."""
         self.kernel.find("members").evacuated = zones
         self.owner.set_evacuated(self.zone in zones)
 
-    async def _tell(self):
+    async def _send_load_updates(self):
         # Stands in for the pushes of a changed crowding.
         while True:
-            await asyncio.sleep(TELL_SECONDS)
+            await asyncio.sleep(LOAD_UPDATE_SECONDS)
             self.owner.tell_listeners()
 
     async def dispatch(self, kind, name, deadline, objective_at):
--- a/caperstack/play/main.py
+++ b/caperstack/play/main.py
@@ -18,7 +18,7 @@
 EXIT_BAD_ARGUMENTS = 2
 
 #: Characters of a full bar.
-BAR = 40
+BAR_WIDTH = 40
 
 
 def _parser():
@@ -47,7 +47,7 @@
     return parser
 
 
-def _played(scenario, policies, seeds, jobs):
+def _run_plays(scenario, policies, seeds, jobs):
     """Yield each policy with how the requests of all its plays ended, `jobs` plays at a time."""
     plays = [
         (scenario.model_copy(update={"seed": seed}), policy)
@@ -55,9 +55,9 @@
         for seed in range(scenario.seed, scenario.seed + seeds)
     ]
     with ProcessPoolExecutor(jobs) as pool:
-        ended = pool.map(play, *zip(*plays, strict=True))
+        results = pool.map(play, *zip(*plays, strict=True))
         for policy in policies:
-            yield policy, [one for _ in range(seeds) for one in next(ended)]
+            yield policy, [one for _ in range(seeds) for one in next(results)]
 
 
 def _row(name, figures):
@@ -75,10 +75,10 @@
     )
 
 
-def _picture(credits):
+def _credit_bars(credits):
     """Yield a bar of the credit of each policy."""
     for name, credit in sorted(credits.items(), key=lambda item: -item[1]):
-        yield f"{name:26}{'#' * round(credit * BAR)} {credit:.3f}"
+        yield f"{name:26}{'#' * round(credit * BAR_WIDTH)} {credit:.3f}"
 
 
 def main(arguments=None):
@@ -95,14 +95,14 @@
     found = {}
     print(_heading())
     policies = options.policy or list(POLICIES)
-    for policy, ended in _played(scenario, policies, options.seeds, options.jobs):
-        found[policy] = figures_of(ended)
+    for policy, results in _run_plays(scenario, policies, options.seeds, options.jobs):
+        found[policy] = figures_of(results)
         print(_row(policy, found[policy]), flush=True)
         for kind in scenario.kinds if options.kinds else ():
             if kind.per_second:
-                print(_row(f"  {kind.name}", figures_of(ended, kind.name)))
+                print(_row(f"  {kind.name}", figures_of(results, kind.name)))
     print()
-    print("\n".join(_picture({policy: figures.credit for policy, figures in found.items()})))
+    print("\n".join(_credit_bars({policy: figures.credit for policy, figures in found.items()})))
     if options.json:
         with open(options.json, "w", encoding="utf-8") as file:
             json.dump(
--- a/caperstack/play/play.py
+++ b/caperstack/play/play.py
@@ -40,7 +40,7 @@
 
 
 def play(scenario, policy="shipped", log=None, counts=None):
-    """Return the list of `caperstack.play.callers.Ended` of a scenario under a policy.
+    """Return the list of `caperstack.play.callers.RequestResult` of a scenario under a policy.
 
     Parameters
     ----------
@@ -56,44 +56,44 @@
     random.seed(scenario.seed)
     rng = random.Random(scenario.seed)
     with policy_in_force(policy) as choice:
-        return run_virtual(lambda: _played(scenario, choice, rng, log, counts))
+        return run_virtual(lambda: _run_scenario(scenario, choice, rng, log, counts))
 
 
-async def _played(scenario, choice, rng, log, counts):
+async def _run_scenario(scenario, choice, rng, log, counts):
     fleet = PlayFleet(scenario, choice, rng, log, counts)
     await fleet.start()
     callers = Callers(scenario, fleet)
-    events = [asyncio.create_task(_happen(event, fleet, callers)) for event in scenario.events]
+    events = [asyncio.create_task(_apply_event(event, fleet, callers)) for event in scenario.events]
     try:
         await callers.run()
     finally:
         for event in events:
             event.cancel()
         await fleet.stop()
-    return callers.ended
+    return callers.results
 
 
-async def _happen(event, fleet, callers):
+async def _apply_event(event, fleet, callers):
     await asyncio.sleep(event.at)
     if event.what == "burst":
         callers.factor = event.factor
         await asyncio.sleep(event.seconds)
         callers.factor = 1.0
     elif event.what == "lose":
-        await fleet.lose(event.service, event.count)
+        await fleet.remove_servers(event.service, event.count)
     elif event.what == "chill":
-        fleet.chill(event.service, event.count)
+        fleet.make_cold(event.service, event.count)
     elif event.what == "evacuate":
         await fleet.evacuate(event.zone, event.seconds)
-    elif event.of_service:
-        await fleet.ail(event)
+    elif event.affects_servers:
+        await fleet.inject_fault(event)
     else:
         await fleet.restart()
 
 
-def figures_of(ended, kind=None):
-    """Return the `Figures` of the requests in `ended`, of one kind's name if given."""
-    own = [one for one in ended if kind in (None, one.kind.name)]
+def figures_of(results, kind=None):
+    """Return the `Figures` of the requests in `results`, of one kind's name if given."""
+    own = [one for one in results if kind in (None, one.kind.name)]
     count = max(1, len(own))
     times = sorted(one.seconds * 1000 for one in own if one.served) or [0.0]
     return Figures(
@@ -103,21 +103,21 @@
         refused=sum(one.code in (429, 503) for one in own) / count,
         failed=sum(not one.served and one.code not in (429, 503) for one in own) / count,
         credit=_credit(own),
-        worst=min(_windows(own), default=0.0),
+        worst=min(_window_credits(own), default=0.0),
         p50_ms=times[len(times) // 2],
         p99_ms=times[int(len(times) * 0.99)],
         tries=sum(one.tries for one in own) / count,
     )
 
 
-def _credit(ended):
-    owed = sum(one.kind.worth for one in ended)
-    return sum(one.credit for one in ended) / owed if owed else 0.0
+def _credit(results):
+    owed = sum(one.kind.worth for one in results)
+    return sum(one.credit for one in results) / owed if owed else 0.0
 
 
-def _windows(ended):
+def _window_credits(results):
     windows = {}
-    for one in ended:
-        windows.setdefault(int(one.begun_at / WINDOW_SECONDS), []).append(one)
+    for one in results:
+        windows.setdefault(int(one.started_at / WINDOW_SECONDS), []).append(one)
     # The last window is cut off by the end of the play.
     return [_credit(windows[place]) for place in sorted(windows)[:-1]]
--- a/caperstack/play/scenario.py
+++ b/caperstack/play/scenario.py
@@ -89,7 +89,7 @@
     count: int = Field(1, ge=1)
 
     @property
-    def of_service(self):
+    def affects_servers(self):
         """Whether it happens to servers of one service."""
         return self.what in ("lose", "chill", "slow", "shed", "fail")
 
@@ -121,7 +121,7 @@
                 if nested.kind not in kinds:
                     raise ValueError(f"kinds.{kind.name}.calls: no kind {nested.kind!r}")
         for event in self.events:
-            if event.of_service and event.service not in services:
+            if event.affects_servers and event.service not in services:
                 raise ValueError(f"events at {event.at}: no service {event.service!r}")
             if event.what == "evacuate" and event.zone not in self.zone_names:
                 raise ValueError(f"events at {event.at}: no zone {event.zone!r}")
--- a/caperstack/play/server.py
+++ b/caperstack/play/server.py
@@ -29,26 +29,26 @@
         whether all were answered.
     rng : random.Random
         The chance in its work.
-    visits_rng : random.Random
+    neighbour_rng : random.Random
         The chance in its neighbour's visits, apart, so that they are the same
         under every policy.
     """
 
-    def __init__(self, service, work, nested, rng, visits_rng):
+    def __init__(self, service, work, nested, rng, neighbour_rng):
         self._service = service
-        self._work = work
-        self._nested = nested
+        self._kind_of = work
+        self._call_nested = nested
         self._rng = rng
-        self._visits_rng = visits_rng
+        self._neighbour_rng = neighbour_rng
         self._waiting = deque()
         self._cold_since = 0.0
         self._cold_until = 0.0
         self._starts = deque()
         self._on_report = None
         self.running = 0
-        self.neighbour = 1.0
-        self.lost = False
-        self.ends = 0
+        self.neighbour_factor = 1.0
+        self.is_down = False
+        self.crashes = 0
         self.fault = None
 
     async def start(self, kernel):
@@ -63,64 +63,66 @@
 
     def restart(self):
         """Begin anew: cold, with no work."""
-        self.chill()
+        self.make_cold()
         self.running = 0
         self._waiting.clear()
 
-    def chill(self):
+    def make_cold(self):
         """Turn cold."""
         self._cold_since = now()
         self._cold_until = deadline_after(self._service.cold_seconds)
 
     @property
-    def pace(self):
+    def slowdown(self):
         """How many times longer than usual work takes at this moment."""
         cold = self._service.cold_factor if now() < self._cold_until else 1.0
-        return cold * self.neighbour
+        return cold * self.neighbour_factor
 
-    async def visits(self):
+    async def run_neighbour(self):
         """Let the neighbour come and go, for ever."""
         service = self._service
         while True:
-            taken = self._visits_rng.random() < service.visit_share
-            self.neighbour = service.visit_factor if taken else 1.0
-            await asyncio.sleep(self._visits_rng.expovariate(1 / service.visit_seconds))
+            taken = self._neighbour_rng.random() < service.visit_share
+            self.neighbour_factor = service.visit_factor if taken else 1.0
+            await asyncio.sleep(self._neighbour_rng.expovariate(1 / service.visit_seconds))
 
     async def probe(self, _path, _deadline):
         """Answer a question after its health."""
-        if self.lost:
+        if self.is_down:
             raise BackendError("no connection", step="connect", sent=False)
-        self._tell()
+        self._send_report()
         return ServerHealth(True, max(0.0, time_left(self._cold_until)))
 
     async def listens(self, _deadline):
         """Return whether the server is there."""
-        return not self.lost
+        return not self.is_down
 
-    def _tell(self):
-        report = ServerReport("", self.running, len(self._waiting), self._service.slots, self.pace)
+    def _send_report(self):
+        report = ServerReport(
+            "", self.running, len(self._waiting), self._service.slots, self.slowdown
+        )
         self._on_report(report)
 
     async def fetch(self, call, _instance=""):
         """Run `call` as the modelled server would."""
-        if self.lost:
+        if self.is_down:
             raise BackendError("no connection", step="connect", sent=False)
-        self._note_start()
-        if self._fails("shed"):
+        self._count_start()
+        if self._fault_strikes("shed"):
             return NotRun("server sheds", REFUSED_SECONDS, offered=True)
-        kind = self._work(call)
+        kind = self._kind_of(call)
         try:
             async with asyncio.timeout_at(call.deadline):
-                if not await self._slot():
+                if not await self._acquire_slot():
                     return NotRun("server is full", REFUSED_SECONDS, offered=True)
                 try:
                     return await self._run(kind, call)
                 finally:
-                    self._free()
+                    self._release_slot()
         except TimeoutError:
             raise BackendError("deadline passed", step="backend") from None
 
-    def _note_start(self):
+    def _count_start(self):
         """Count a call; a cold server that got too many ends."""
         bears = self._service.cold_bears
         moment = now()
@@ -131,24 +133,24 @@
         while self._starts[0] < since:
             self._starts.popleft()
         if len(self._starts) > bears:
-            self._end()
+            self._crash()
             raise BackendError("connection closed", step="backend", unheard=True)
 
-    def _end(self):
-        self.lost = True
-        self.ends += 1
-        asyncio.get_running_loop().call_later(self._service.down_seconds, self._come_back)
+    def _crash(self):
+        self.is_down = True
+        self.crashes += 1
+        asyncio.get_running_loop().call_later(self._service.down_seconds, self._restart_after_crash)
 
-    def _come_back(self):
-        self.lost = False
+    def _restart_after_crash(self):
+        self.is_down = False
         self.restart()
 
-    def _fails(self, what):
+    def _fault_strikes(self, what):
         """Return whether a fault of that kind strikes a call now."""
         fault = self.fault
         return fault is not None and fault.what == what and self._rng.random() < fault.share
 
-    async def _slot(self):
+    async def _acquire_slot(self):
         if self.running < self._service.slots:
             self.running += 1
             return True
@@ -159,7 +161,7 @@
         await turn
         return True
 
-    def _free(self):
+    def _release_slot(self):
         while self._waiting:
             turn = self._waiting.popleft()
             if not turn.done():
@@ -168,24 +170,24 @@
         self.running = max(0, self.running - 1)
 
     async def _run(self, kind, call):
-        seconds = self._seconds(kind)
+        seconds = self._service_seconds(kind)
         if not kind.calls:
             await asyncio.sleep(seconds)
         else:
             await asyncio.sleep(seconds / 2)
-            if not await self._nested(kind, call):
+            if not await self._call_nested(kind, call):
                 return Answered(500, "Internal Server Error", [], b"")
             await asyncio.sleep(seconds / 2)
-        if self._fails("fail"):
+        if self._fault_strikes("fail"):
             return Answered(500, "Internal Server Error", [], b"")
         if time_left(call.deadline) <= 0:
             return Answered(504, "Gateway Timeout", [], b"")
-        self._tell()
+        self._send_report()
         return Answered(200, "OK", [], b"")
 
-    def _seconds(self, kind):
+    def _service_seconds(self, kind):
         service = self._service
-        factor = self.pace
+        factor = self.slowdown
         if self.fault is not None and self.fault.what == "slow":
             factor *= self.fault.factor
         if self.running > service.knee * service.slots:
--- a/caperstack/play/tests/test_play.py
+++ b/caperstack/play/tests/test_play.py
@@ -21,10 +21,10 @@
 def figures(name, policy, seeds=2, kind=None):
     """Return what callers, of one kind or all, got in the play of that file under a policy."""
     scenario = parse_scenario((PLAYS / f"{name}.json").read_text(encoding="utf-8"))
-    ended = []
+    results = []
     for seed in range(1, seeds + 1):
-        ended += play(scenario.model_copy(update={"seed": seed}), policy)
-    return figures_of(ended, kind)
+        results += play(scenario.model_copy(update={"seed": seed}), policy)
+    return figures_of(results, kind)
 
 
 class TestVirtualTime(unittest.TestCase):
@@ -125,8 +125,8 @@
         for policy in ("shipped", "loads told for five seconds"):
             counts = Counter()
             scenario = parse_scenario((PLAYS / "wide.json").read_text(encoding="utf-8"))
-            ended = play(scenario.model_copy(update={"seconds": 8.0}), policy, counts=counts)
-            told[policy] = (counts["loads told"], figures_of(ended).credit)
+            results = play(scenario.model_copy(update={"seconds": 8.0}), policy, counts=counts)
+            told[policy] = (counts["loads told"], figures_of(results).credit)
         (few, shipped), (many, before) = told.values()
         self.assertLess(few, 0.6 * many)
         self.assertGreater(shipped, before - 0.02)
--- a/caperstack/play/virtual.py
+++ b/caperstack/play/virtual.py
@@ -13,7 +13,7 @@
 START_SECONDS = 1000.0
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualSelector(selectors.SelectSelector):
     """A selector that advances the clock by the time it was to wait."""
 
     def __init__(self):
@@ -30,7 +30,7 @@
 
 class _VirtualLoop(asyncio.SelectorEventLoop):
     def __init__(self):
-        self._clock = _JumpingSelector()
+        self._clock = _VirtualSelector()
         super().__init__(self._clock)
 
     def time(self):
@@ -51,8 +51,8 @@
     """
     loop = _VirtualLoop()
     with use_source(loop.time), asyncio.Runner(loop_factory=lambda: loop) as runner:
-        return runner.run(_made(make))
+        return runner.run(_await_coroutine(make))
 
 
-async def _made(make):
+async def _await_coroutine(make):
     return await make()
