--- a/caperstack/play/play.py
+++ b/caperstack/play/play.py
@@ -55,12 +55,12 @@
     """
     random.seed(scenario.seed)
     rng = random.Random(scenario.seed)
-    with policy_in_force(policy) as choice:
-        return run_virtual(lambda: _run_scenario(scenario, choice, rng, log, counts))
+    with policy_in_force(policy) as routing_policy:
+        return run_virtual(lambda: _run_scenario(scenario, routing_policy, rng, log, counts))
 
 
-async def _run_scenario(scenario, choice, rng, log, counts):
-    fleet = PlayFleet(scenario, choice, rng, log, counts)
+async def _run_scenario(scenario, routing_policy, rng, log, counts):
+    fleet = PlayFleet(scenario, routing_policy, rng, log, counts)
     await fleet.start()
     callers = Callers(scenario, fleet)
     events = [asyncio.create_task(_apply_event(event, fleet, callers)) for event in scenario.events]
--- a/caperstack/play/policies.py
+++ b/caperstack/play/policies.py
@@ -8,35 +8,35 @@
 __all__ = ["POLICIES", "policy_in_force"]
 
 
-def _by_arrival(waiter, _moment, _short_takes):
+def _rank_by_arrival(waiter, _moment, _short_takes):
     return (waiter.sequence,) * 2
 
 
-def _until_the_deadline(_gate, call, takes):
+def _last_start_before_deadline(_gate, call, takes):
     return min(call.queue_until, call.deadline - takes)
 
 
-def _never(*_arguments):
+def _always_false(*_arguments):
     return False
 
 
-def _none_free(*_arguments):
+def _no_candidates(*_arguments):
     return []
 
 
-def _no_wait_known(*_arguments):
+def _zero_wait(*_arguments):
     return 0.0
 
 
-def _as_it_is(knee):
+def _initial_limit(knee):
     return knee.limit
 
 
-def _no_step(_limit):
+def _keep_limit(_limit):
     """The limit stays as it is."""
 
 
-def _any_number(_limit, _per_second, _cold_seconds=0.0):
+def _keep_unlimited(_limit, _per_second, _cold_seconds=0.0):
     """The limit stays off."""
 
 
@@ -52,31 +52,37 @@
     "shipped": ("load_aware", {}),
     "random entry": ("random", {}),
     "two choices": ("power_of_two", {}),
-    "first come first served": ("load_aware", {f"{_QUEUE}.Waiter.rank": _by_arrival}),
-    "late calls wait": ("load_aware", {f"{_GATE}.SlotGate._last_start": _until_the_deadline}),
+    "first come first served": ("load_aware", {f"{_QUEUE}.Waiter.rank": _rank_by_arrival}),
+    "late calls wait": (
+        "load_aware",
+        {f"{_GATE}.SlotGate._last_start": _last_start_before_deadline},
+    ),
     "plain queue": (
         "load_aware",
         {
-            f"{_QUEUE}.Waiter.rank": _by_arrival,
-            f"{_GATE}.SlotGate._last_start": _until_the_deadline,
+            f"{_QUEUE}.Waiter.rank": _rank_by_arrival,
+            f"{_GATE}.SlotGate._last_start": _last_start_before_deadline,
         },
     ),
     "short calls wait": ("load_aware", {f"{_GATE}.SHORT_SHARE": 0.0}),
     "all wait, none is refused": (
         "load_aware",
-        {f"{_GATE}.SlotGate._expected_wait": _no_wait_known},
+        {f"{_GATE}.SlotGate._expected_wait": _zero_wait},
     ),
     "slots rounded up": ("load_aware", {f"{_GATE}.ROUNDING": 1.0}),
-    "limit is not learnt": ("load_aware", {"caperstack.admission.knee.Knee.allowed": _as_it_is}),
+    "limit is not learnt": (
+        "load_aware",
+        {"caperstack.admission.knee.Knee.allowed": _initial_limit},
+    ),
     "slots rounded up, not learnt": (
         "load_aware",
-        {f"{_GATE}.ROUNDING": 1.0, "caperstack.admission.knee.Knee.allowed": _as_it_is},
+        {f"{_GATE}.ROUNDING": 1.0, "caperstack.admission.knee.Knee.allowed": _initial_limit},
     ),
     "cold servers get any number": (
         "load_aware",
-        {"caperstack.admission.cold.ColdLimit.resize": _any_number},
+        {"caperstack.admission.cold.ColdLimit.resize": _keep_unlimited},
     ),
-    "limit does not adapt": ("load_aware", {f"{_LIMIT}.SlotLimit.adjust": _no_step}),
+    "limit does not adapt": ("load_aware", {f"{_LIMIT}.SlotLimit.adjust": _keep_limit}),
     "slow servers are not doubted": ("load_aware", {f"{_LIMIT}.DOUBT": 1e9}),
     "failing servers are not gated": ("load_aware", {f"{_LIMIT}.GATE_SHARE": 2.0}),
     "nobody is ejected": ("load_aware", {f"{_ESTIMATES}.EJECT_SHARE": 2.0}),
@@ -86,14 +92,14 @@
         "load_aware",
         {f"{_PACE}.SLOWED_PACE": 1e9, f"{_ESTIMATES}.SLOWED_PACE": 1e9},
     ),
-    "nothing is held": ("load_aware", {f"{_GATE}.SlotGate._holds": _never}),
+    "nothing is held": ("load_aware", {f"{_GATE}.SlotGate._holds": _always_false}),
     "no question before a start": (
         "load_aware",
         {"caperstack.admission.owner.FRESH_READING_SECONDS": 1e9},
     ),
-    "no hedges": ("load_aware", {f"{_DISPATCH}._may_hedge": _never}),
-    "no repeats": ("load_aware", {f"{_DISPATCH}._may_repeat": _never}),
-    "no moves": ("load_aware", {"caperstack.routing.candidates.Candidates.free": _none_free}),
+    "no hedges": ("load_aware", {f"{_DISPATCH}._may_hedge": _always_false}),
+    "no repeats": ("load_aware", {f"{_DISPATCH}._may_repeat": _always_false}),
+    "no moves": ("load_aware", {"caperstack.routing.candidates.Candidates.free": _no_candidates}),
     "loads told to all": (
         "load_aware",
         {"caperstack.peers.interest.CALLS_SECONDS": 1e9},
@@ -124,8 +130,8 @@
     if name not in POLICIES:
         known = ", ".join(POLICIES)
         raise ConfigurationError(f"not one of {known}", step="play", peer=name)
-    choice, changes = POLICIES[name]
+    routing_policy, changes = POLICIES[name]
     with contextlib.ExitStack() as stack:
         for place, value in changes.items():
             stack.enter_context(mock.patch(place, value))
-        yield choice
+        yield routing_policy
--- a/caperstack/play/virtual.py
+++ b/caperstack/play/virtual.py
@@ -38,7 +38,7 @@
         return self._clock.seconds
 
 
-def run_virtual(make):
+def run_virtual(create_coroutine):
     """Run the coroutine that ``make()`` returns in virtual time and return its result.
 
     Everything that reads `caperstack.clock` sees the virtual time meanwhile. Nothing
@@ -51,8 +51,8 @@
     """
     loop = _VirtualLoop()
     with use_source(loop.time), asyncio.Runner(loop_factory=lambda: loop) as runner:
-        return runner.run(_await_coroutine(make))
+        return runner.run(_await_coroutine(create_coroutine))
 
 
-async def _await_coroutine(make):
-    return await make()
+async def _await_coroutine(create_coroutine):
+    return await create_coroutine()
