--- a/caperstack/play/__init__.py
+++ b/caperstack/play/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions played in virtual time: real entries and owners, modelled servers and callers."""
+"""Simulation in virtual time: real entries and owners, modelled backend servers and callers."""
--- a/caperstack/play/fleet.py
+++ b/caperstack/play/fleet.py
@@ -1,4 +1,4 @@
-"""All hosts of a play, and what happens to them."""
+"""All hosts of a simulation and the events that affect them."""
 
 import asyncio
 import random
@@ -31,13 +31,20 @@
     Parameters
     ----------
     scenario : caperstack.play.scenario.Scenario
-        What is played.
+        The scenario.
     policy : str
-        How entries choose: a name of `caperstack.routing.policies`.
+        The routing policy of entries, a name of `caperstack.routing.policies`.
     rng : random.Random
-        The chance in it.
+        Source of randomness.
+    log : caperstack.events.log.LogWriter, optional
+        The log to which hosts write their decisions.
     counts : collections.Counter, optional
-        Counts what hosts send each other, by kind.
+        Counts the messages between hosts by kind.
+
+    Attributes
+    ----------
+    hosts : list of caperstack.play.hosts.PlayHost
+        The hosts that have not been removed.
     """
 
     def __init__(self, scenario, policy, rng, log=None, counts=None):
@@ -58,12 +65,12 @@
     def _host(self, name, number, service):
         host = None
 
-        async def nested(kind, call):
+        async def call_nested(kind, call):
             return await self._call_nested(host, kind, call)
 
         work_rng = random.Random(f"{self._scenario.seed} {name} work")
         neighbour_rng = random.Random(f"{self._scenario.seed} {name} visits")
-        server = ModelServer(service, self._kind_of, nested, work_rng, neighbour_rng)
+        server = ModelServer(service, self._kind_of, call_nested, work_rng, neighbour_rng)
         zone = self._scenario.zone_names[number % self._scenario.zones]
         host = PlayHost(name, zone, service, server, self._options)
         return host
@@ -72,20 +79,20 @@
         return self._scenario.kind(call.route)
 
     async def _call_nested(self, host, kind, call):
-        made = [nested for nested in kind.calls if self._rng.random() < nested.share]
-        asked = [self._call_repeatedly(host, nested, call) for nested in made]
-        return all(await asyncio.gather(*asked))
+        chosen = [nested for nested in kind.calls if self._rng.random() < nested.share]
+        groups = [self._call_repeatedly(host, nested, call) for nested in chosen]
+        return all(await asyncio.gather(*groups))
 
     async def _call_repeatedly(self, host, nested, call):
-        """Return whether all calls of one kind were answered."""
+        """Make the nested calls of one kind; return whether all succeeded."""
         kind = self._scenario.kind(nested.kind)
         if nested.in_turn:
             for _ in range(nested.times):
                 if not _succeeded(await self._call_once(host, kind, call)):
                     return False
             return True
-        asked = [self._call_once(host, kind, call) for _ in range(nested.times)]
-        return all(_succeeded(outcome) for outcome in await asyncio.gather(*asked))
+        calls = [self._call_once(host, kind, call) for _ in range(nested.times)]
+        return all(_succeeded(outcome) for outcome in await asyncio.gather(*calls))
 
     async def _call_once(self, host, kind, call):
         deadline = min(call.deadline, deadline_after(kind.patience_ms / 1000))
@@ -93,7 +100,7 @@
         return await host.dispatch(kind, name, deadline, deadline_after(kind.objective_ms / 1000))
 
     async def start(self):
-        """Start all nodes, and let them know each other."""
+        """Start all nodes and connect them with each other."""
         for host in self.hosts:
             await host.start()
         self._connect_hosts()
@@ -108,11 +115,11 @@
             host.connect(self.hosts, self._scenario.zone_ms / 1000)
 
     def random_host(self):
-        """Return the host at which a caller asks."""
+        """Return a random host, to which a caller sends a request."""
         return self._rng.choice(self.hosts)
 
     async def remove_servers(self, service, count):
-        """Take servers away for good, with their hosts."""
+        """Remove the first `count` servers of `service` and their hosts permanently."""
         for host in [h for h in self.hosts if h.service.name == service][:count]:
             host.server.is_down = True
             self.hosts.remove(host)
@@ -120,12 +127,12 @@
         self._connect_hosts()
 
     def make_cold(self, service, count):
-        """Let servers of a service turn cold."""
+        """Make the first `count` servers of `service` cold."""
         for host in [h for h in self.hosts if h.service.name == service][:count]:
             host.server.make_cold()
 
     async def evacuate(self, zone, seconds):
-        """Let a zone get no new calls for some seconds; its servers are cold at the end."""
+        """Keep new calls away from `zone` for `seconds`; its servers are cold afterwards."""
         for host in self.hosts:
             host.evacuate(frozenset((zone,)))
         await asyncio.sleep(seconds)
@@ -135,16 +142,16 @@
             host.evacuate(frozenset())
 
     async def inject_fault(self, event):
-        """Let servers of a service have the fault of `event` for its time."""
-        ailing = [h.server for h in self.hosts if h.service.name == event.service][: event.count]
-        for server in ailing:
+        """Apply the fault `event` to servers of its service for its duration."""
+        affected = [h.server for h in self.hosts if h.service.name == event.service][: event.count]
+        for server in affected:
             server.fault = event
         await asyncio.sleep(event.seconds)
-        for server in ailing:
+        for server in affected:
             server.fault = None
 
     async def restart(self):
-        """Let all nodes and servers start anew."""
+        """Restart all nodes and servers."""
         for host in self.hosts:
             await host.stop()
             host.server.restart()
--- a/caperstack/play/hosts.py
+++ b/caperstack/play/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts of a play: the real entry, owner and probe, joined without a network."""
+"""Hosts of a simulation: the real entry, owner and health probe, connected without a network."""
 
 import asyncio
 import copy
@@ -20,50 +20,64 @@
 
 __all__ = ["PlayHost"]
 
-#: One way between hosts of a zone, in seconds.
+#: One-way latency between hosts of one zone, in seconds.
 ZONE_LATENCY_SECONDS = 0.0002
 
-#: Addresses are never used, and all hosts are of one region.
+#: Address of every host; nothing connects to it.
 UNUSED_ADDRESS = "127.0.0.1:1"
+
+#: Region of all hosts.
 REGION = "r"
 
-#: How often an owner's crowding is told, in seconds.
+#: Interval at which an owner checks whether to send its load to entries, in seconds.
 LOAD_UPDATE_SECONDS = 0.3
 
 
 class _NoPauseDetector:
-    """Nothing is ever suspended in a play."""
+    """Stands in for the detector of process pauses; a simulation has none."""
 
     async def start(self, kernel):
-        """Nothing to start."""
+        """Do nothing."""
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing."""
 
     def suspect(self):
-        """Never."""
+        """Return false: the process never paused."""
         return False
 
 
 class _FixedSettings:
-    """The same settings for every service."""
+    """Stands in for the settings; they are the same for every service."""
 
     def __init__(self, policy):
         self._service = EffectiveService(policy=policy)
 
     async def start(self, kernel):
-        """Nothing to start."""
+        """Do nothing."""
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing."""
 
     def service(self, _name):
-        """Return the `EffectiveService`."""
+        """Return the `EffectiveService` that applies to every service."""
         return self._service
 
 
 class _RemoteOwner:
-    """The way to the owner of another host, with the time it takes."""
+    """The owner on another host, reached after the network latency.
+
+    Parameters
+    ----------
+    owner : caperstack.admission.owner.Owner
+        The owner.
+    member : object
+        The entry's member for the owner's host; its load estimate is updated.
+    seconds : float
+        One-way latency in seconds.
+    counts : collections.Counter
+        Counts the messages by kind.
+    """
 
     usable = True
 
@@ -76,7 +90,7 @@
         owner.listen(self._send_changed_load)
 
     async def run(self, call):
-        """Return the outcome of `call`, with the way there and back."""
+        """Return the outcome of `call` after the latency of both directions."""
         self._counts[
             "calls in the zone" if self._seconds == ZONE_LATENCY_SECONDS else "calls out"
         ] += 1
@@ -90,10 +104,10 @@
         return outcome
 
     def freshen(self, _estimate):
-        """Nothing: the load is known as it was last told."""
+        """Do nothing: the entry keeps the load that it got last."""
 
     def touch(self):
-        """Nothing to open."""
+        """Do nothing: there is no connection to open."""
 
     def _send_changed_load(self):
         if self._interest.wants(self._owner.load):
@@ -109,7 +123,22 @@
 
 
 class PlayHost:
-    """One host: a node's decisions beside a modelled backend server."""
+    """One host: the decisions of a real node beside a modelled backend server.
+
+    Parameters
+    ----------
+    name : str
+        Name of the host.
+    zone : str
+        Its availability zone.
+    service : caperstack.play.scenario.Service
+        Service of its backend server.
+    server : caperstack.play.server.ModelServer
+        The backend server.
+    options : object
+        The scenario, routing policy, random generator, retry allowance, log and counter
+        that all hosts share.
+    """
 
     def __init__(self, name, zone, service, server, options):
         self.name = name
@@ -121,7 +150,7 @@
         self.kernel = None
 
     async def start(self):
-        """Start the node with no memory."""
+        """Start the node without any state."""
         scenario = self._options.scenario
         backend = Backend(
             UNUSED_ADDRESS, self.service.name, self.service.slots, scenario.slots_share, 1
@@ -151,18 +180,18 @@
         ]
 
     async def stop(self):
-        """Stop the node as a kill does."""
+        """Stop the node at once, as if it was killed."""
         for task in self._tasks:
             task.cancel()
         await self.kernel.stop()
 
     @property
     def owner(self):
-        """The owner beside the server."""
+        """The owner beside the backend server."""
         return self.kernel.find("owner")
 
     def connect(self, hosts, zone_seconds):
-        """Know `hosts` and the ways to them."""
+        """Make `hosts` the members of this node and set the latency to each."""
         members = self.kernel.find("members")
         members.take_list(
             HostEntry(h.name, h.zone, REGION, h.service.name, UNUSED_ADDRESS) for h in hosts
@@ -172,22 +201,37 @@
             if host is self:
                 member.owner = LocalOwner(self.owner)
                 continue
-            way = ZONE_LATENCY_SECONDS if host.zone == self.zone else zone_seconds
-            member.owner = _RemoteOwner(host.owner, member, way, self._options.counts)
+            latency_seconds = ZONE_LATENCY_SECONDS if host.zone == self.zone else zone_seconds
+            member.owner = _RemoteOwner(host.owner, member, latency_seconds, self._options.counts)
 
     def evacuate(self, zones):
-        """No new calls go to `zones` from now on."""
+        """Send no new calls to `zones`."""
         self.kernel.find("members").evacuated = zones
         self.owner.set_evacuated(self.zone in zones)
 
     async def _send_load_updates(self):
-        # Stands in for the pushes of a changed crowding.
+        # Stands in for the load updates that an owner sends when its occupancy changes.
         while True:
             await asyncio.sleep(LOAD_UPDATE_SECONDS)
             self.owner.tell_listeners()
 
     async def dispatch(self, kind, name, deadline, objective_at):
-        """Return the outcome of one request that begins here."""
+        """Dispatch one request that a caller sends to this host.
+
+        Parameters
+        ----------
+        kind : caperstack.play.scenario.Kind
+            The kind of call.
+        name : str
+            Request id.
+        deadline, objective_at : float
+            Times of the deadline and of the latency objective.
+
+        Returns
+        -------
+        object
+            The outcome.
+        """
         call = Call(
             id=0,
             origin=self.name,
@@ -204,7 +248,7 @@
             attempts=kind.attempts,
         )
         call.objective_at = min(call.deadline, objective_at)
-        begun = now()
+        started = now()
         outcome = await self.kernel.find("dispatcher").dispatch(call)
-        self.kernel.find("events").call("entry", call, outcome, begun)
+        self.kernel.find("events").call("entry", call, outcome, started)
         return outcome
--- a/caperstack/play/main.py
+++ b/caperstack/play/main.py
@@ -1,4 +1,4 @@
-"""caperstack-play: play a load under several policies, side by side, in seconds."""
+"""Command line of caperstack-play: simulate a load under several policies and compare them."""
 
 import argparse
 import json
@@ -17,7 +17,7 @@
 
 EXIT_BAD_ARGUMENTS = 2
 
-#: Characters of a full bar.
+#: Length of the bar of a credit of 1, in characters.
 BAR_WIDTH = 40
 
 
@@ -25,39 +25,49 @@
     parser = argparse.ArgumentParser(
         prog="caperstack-play",
         description=(
-            "Play a load from a JSON file in virtual time: the real entries, owners, queues and "
-            "budgets against modelled backend servers and callers who come back as they are told. "
-            "Prints what callers got under each policy."
+            "Simulate a load from a JSON file in virtual time: real entries, owners, queues and "
+            "retry budgets against modelled backend servers and callers who honour Retry-After. "
+            "Print the results of callers under each policy."
         ),
     )
-    parser.add_argument("scenario", help="JSON file, as examples/plays/*.json")
+    parser.add_argument("scenario", help="JSON file such as examples/plays/*.json")
     parser.add_argument(
         "--policy",
         action="append",
         choices=list(POLICIES),
-        help="may be given several times; by default all of them",
+        help="policy to simulate; may be repeated (default: all)",
     )
-    parser.add_argument("--seeds", type=int, default=1, help="so many plays of each, by seed")
     parser.add_argument(
-        "--jobs", type=int, default=max(1, (os.cpu_count() or 1) // 2), help="plays at a time"
+        "--seeds",
+        type=int,
+        default=1,
+        help="number of simulations of each policy, with consecutive seeds",
+    )
+    parser.add_argument(
+        "--jobs",
+        type=int,
+        default=max(1, (os.cpu_count() or 1) // 2),
+        help="number of simulations that run at a time",
+    )
+    parser.add_argument(
+        "--kinds", action="store_true", help="also print a line for each kind of call"
     )
-    parser.add_argument("--kinds", action="store_true", help="a line for each kind of call too")
     parser.add_argument("--json", help="write the figures to this file")
     parser.add_argument("--version", action="version", version=f"%(prog)s {__version__}")
     return parser
 
 
 def _run_plays(scenario, policies, seeds, jobs):
-    """Yield each policy with how the requests of all its plays ended, `jobs` plays at a time."""
-    plays = [
+    """Yield each policy with the results of all its simulations, run `jobs` at a time."""
+    runs = [
         (scenario.model_copy(update={"seed": seed}), policy)
         for policy in policies
         for seed in range(scenario.seed, scenario.seed + seeds)
     ]
     with ProcessPoolExecutor(jobs) as pool:
-        results = pool.map(play, *zip(*plays, strict=True))
+        results = pool.map(play, *zip(*runs, strict=True))
         for policy in policies:
-            yield policy, [one for _ in range(seeds) for one in next(results)]
+            yield policy, [result for _ in range(seeds) for result in next(results)]
 
 
 def _row(name, figures):
@@ -76,7 +86,7 @@
 
 
 def _credit_bars(credits):
-    """Yield a bar of the credit of each policy."""
+    """Yield a bar for the credit of each policy, the highest first."""
     for name, credit in sorted(credits.items(), key=lambda item: -item[1]):
         yield f"{name:26}{'#' * round(credit * BAR_WIDTH)} {credit:.3f}"
 
@@ -92,21 +102,27 @@
     except (OSError, ConfigurationError) as error:
         print(f"caperstack-play: {error}", file=sys.stderr)
         return EXIT_BAD_ARGUMENTS
-    found = {}
+    figures_by_policy = {}
     print(_heading())
     policies = options.policy or list(POLICIES)
     for policy, results in _run_plays(scenario, policies, options.seeds, options.jobs):
-        found[policy] = figures_of(results)
-        print(_row(policy, found[policy]), flush=True)
+        figures_by_policy[policy] = figures_of(results)
+        print(_row(policy, figures_by_policy[policy]), flush=True)
         for kind in scenario.kinds if options.kinds else ():
             if kind.per_second:
                 print(_row(f"  {kind.name}", figures_of(results, kind.name)))
     print()
-    print("\n".join(_credit_bars({policy: figures.credit for policy, figures in found.items()})))
+    print(
+        "\n".join(
+            _credit_bars({policy: figures.credit for policy, figures in figures_by_policy.items()})
+        )
+    )
     if options.json:
         with open(options.json, "w", encoding="utf-8") as file:
             json.dump(
-                {policy: asdict(figures) for policy, figures in found.items()}, file, indent=2
+                {policy: asdict(figures) for policy, figures in figures_by_policy.items()},
+                file,
+                indent=2,
             )
     return 0
 
--- a/caperstack/play/play.py
+++ b/caperstack/play/play.py
@@ -1,4 +1,4 @@
-"""Play a scenario under a policy and sum up what callers got."""
+"""Simulate a scenario under a policy and summarise the results of callers."""
 
 import asyncio
 import random
@@ -11,20 +11,29 @@
 
 __all__ = ["Figures", "play", "figures_of"]
 
-#: The span of the worst time that is shown, in seconds.
+#: Length of the windows of which the worst is reported, in seconds.
 WINDOW_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What the callers of one kind, or all, got; shares from 0 to 1.
+    """Summary of the requests of one kind, or of all; shares are from 0 to 1.
 
     Attributes
     ----------
+    asked : int
+        Number of requests.
+    in_time, late, refused, failed : float
+        Share of requests that succeeded within the objective, succeeded later, were
+        refused, or failed.
     credit : float
-        Worth earned of the worth asked for.
+        Worth earned by successful requests, as a share of the worth of all requests.
     worst : float
-        The same over the worst two seconds.
+        The credit of the worst window of two seconds.
+    p50_ms, p99_ms : float
+        Percentiles of the latency of successful requests, in milliseconds.
+    tries : float
+        Mean number of attempts of a request.
     """
 
     asked: int
@@ -40,18 +49,23 @@
 
 
 def play(scenario, policy="shipped", log=None, counts=None):
-    """Return the list of `caperstack.play.callers.RequestResult` of a scenario under a policy.
+    """Simulate a scenario under a policy.
 
     Parameters
     ----------
     scenario : caperstack.play.scenario.Scenario
-        What is played.
+        The scenario.
     policy : str
-        One of `caperstack.play.policies.POLICIES`.
+        A key of `caperstack.play.policies.POLICIES`.
     log : caperstack.events.log.LogWriter, optional
-        Where hosts log their decisions.
+        The log to which hosts write their decisions.
     counts : collections.Counter, optional
-        Counts what hosts send each other, by kind.
+        Counts the messages between hosts by kind.
+
+    Returns
+    -------
+    list of caperstack.play.callers.RequestResult
+        The result of each request.
     """
     random.seed(scenario.seed)
     rng = random.Random(scenario.seed)
@@ -92,7 +106,7 @@
 
 
 def figures_of(results, kind=None):
-    """Return the `Figures` of the requests in `results`, of one kind's name if given."""
+    """Return the `Figures` of `results`, of all or only of the kind with the name `kind`."""
     own = [one for one in results if kind in (None, one.kind.name)]
     count = max(1, len(own))
     times = sorted(one.seconds * 1000 for one in own if one.served) or [0.0]
@@ -111,13 +125,13 @@
 
 
 def _credit(results):
-    owed = sum(one.kind.worth for one in results)
-    return sum(one.credit for one in results) / owed if owed else 0.0
+    available = sum(one.kind.worth for one in results)
+    return sum(one.credit for one in results) / available if available else 0.0
 
 
 def _window_credits(results):
     windows = {}
     for one in results:
         windows.setdefault(int(one.started_at / WINDOW_SECONDS), []).append(one)
-    # The last window is cut off by the end of the play.
-    return [_credit(windows[place]) for place in sorted(windows)[:-1]]
+    # The last window is incomplete since the simulation ends within it.
+    return [_credit(windows[index]) for index in sorted(windows)[:-1]]
--- a/caperstack/play/policies.py
+++ b/caperstack/play/policies.py
@@ -1,4 +1,4 @@
-"""Policies of a play: what is decided as shipped, and with one gain switched off."""
+"""Policies of a simulation: the decisions as shipped, and with single mechanisms disabled."""
 
 import contextlib
 from unittest import mock
@@ -33,11 +33,11 @@
 
 
 def _keep_limit(_limit):
-    """The limit stays as it is."""
+    """Leave the limit unchanged."""
 
 
 def _keep_unlimited(_limit, _per_second, _cold_seconds=0.0):
-    """The limit stays off."""
+    """Leave the number of starts at a cold server unlimited."""
 
 
 _QUEUE = "caperstack.admission.queue"
@@ -47,7 +47,8 @@
 _DISPATCH = "caperstack.routing.dispatch.Dispatcher"
 _ESTIMATES = "caperstack.routing.estimates"
 
-#: For each policy how entries choose, and what it changes.
+#: For each policy the routing policy of entries, and the patches: the dotted name of each
+#: replaced attribute and its replacement.
 POLICIES = {
     "shipped": ("load_aware", {}),
     "random entry": ("random", {}),
@@ -120,7 +121,12 @@
 
 @contextlib.contextmanager
 def policy_in_force(name):
-    """Decide by the policy of that name meanwhile; the value is the entries' way to choose.
+    """Apply the named policy within the context; yield the routing policy of entries.
+
+    Parameters
+    ----------
+    name : str
+        A key of `POLICIES`.
 
     Raises
     ------
--- a/caperstack/play/scenario.py
+++ b/caperstack/play/scenario.py
@@ -1,4 +1,4 @@
-"""What is played: hosts, services, kinds of calls and events, from a JSON file."""
+"""Scenarios of a simulation: hosts, services, kinds of calls and events, from a JSON file."""
 
 import json
 from typing import Literal
@@ -16,10 +16,10 @@
 
 
 class Service(_Model):
-    """The backend servers of one service; one host each.
+    """The backend servers of one service, each on a host of its own.
 
-    A cold server that gets more than ``cold_bears`` calls in a second ends, and is
-    away for ``down_seconds``; 0 for any number.
+    A cold server that gets more than ``cold_bears`` calls in a second crashes and is
+    down for ``down_seconds``. With ``cold_bears`` 0 it bears any number of calls.
     """
 
     name: str = Field(min_length=1)
@@ -38,7 +38,7 @@
 
 
 class Nested(_Model):
-    """Calls that the work of a call makes, halfway through, at once or one by one."""
+    """Calls that a call makes halfway through its work, concurrently or one after the other."""
 
     kind: str
     times: int = Field(1, ge=1)
@@ -47,7 +47,7 @@
 
 
 class Kind(_Model):
-    """One kind of call; a rate of 0 is for calls that others make."""
+    """One kind of call; a rate of 0 means that only other calls make it."""
 
     name: str = Field(min_length=1)
     service: str
@@ -67,16 +67,15 @@
 
 
 class Event(_Model):
-    """Something that happens at a moment of the play.
-
-    ``burst`` multiplies arrivals by ``factor`` for ``seconds``; ``lose`` takes
-    ``count`` servers of ``service`` away for good; ``restart`` makes all nodes
-    and servers start anew, cold and without memory; ``chill`` makes ``count``
-    servers of ``service`` cold; ``evacuate`` empties ``zone`` for ``seconds``, whose
-    servers are cold at the end.  For ``seconds``, ``count``
-    servers of ``service`` take ``factor`` times as long (``slow``), refuse a
-    ``share`` of their calls without running them (``shed``), or run them and
-    fail (``fail``).
+    """An event at a given time of the simulation.
+
+    ``burst`` multiplies the arrival rate by ``factor`` for ``seconds``. ``lose`` removes
+    ``count`` servers of ``service`` permanently. ``restart`` restarts all nodes and
+    servers, which are then cold and without state. ``chill`` makes ``count`` servers of
+    ``service`` cold. ``evacuate`` keeps new calls away from ``zone`` for ``seconds``;
+    its servers are cold afterwards. For ``seconds``, ``count`` servers of ``service``
+    take ``factor`` times as long (``slow``), refuse a ``share`` of their calls without
+    running them (``shed``), or run that share and then answer with an error (``fail``).
     """
 
     at: float = Field(ge=0)
@@ -90,12 +89,12 @@
 
     @property
     def affects_servers(self):
-        """Whether it happens to servers of one service."""
+        """Whether the event affects servers of one service."""
         return self.what in ("lose", "chill", "slow", "shed", "fail")
 
 
 class Scenario(_Model):
-    """A play."""
+    """Everything that is simulated."""
 
     seconds: float = Field(30.0, gt=0, le=3600)
     seed: int = 1
@@ -129,11 +128,11 @@
 
     @property
     def zone_names(self):
-        """The names of the zones, a list."""
+        """The list of zone names."""
         return [f"zone-{number}" for number in range(self.zones)]
 
     def kind(self, name):
-        """Return the `Kind` of that name."""
+        """Return the `Kind` with the given name."""
         return next(kind for kind in self.kinds if kind.name == name)
 
 
@@ -143,7 +142,7 @@
     Raises
     ------
     ConfigurationError
-        Naming the field and the reason.
+        If `text` is not valid; the error names the field and the reason.
     """
     try:
         return Scenario.model_validate(json.loads(text))
--- a/caperstack/play/server.py
+++ b/caperstack/play/server.py
@@ -1,4 +1,4 @@
-"""A modelled backend server: slots, a knee, a cold start and a neighbour."""
+"""A modelled backend server with slots, a knee, a cold start and a noisy neighbour."""
 
 import asyncio
 import math
@@ -14,30 +14,43 @@
 
 
 class ModelServer:
-    """What an owner sees of a backend server, played without a network.
+    """A backend server as its owner sees it, modelled without a network.
 
-    It stands in for `caperstack.backend.client.BackendClient`.
+    It has the interface of `caperstack.backend.client.BackendClient`.
 
     Parameters
     ----------
     service : caperstack.play.scenario.Service
-        How it behaves.
-    work : callable
-        ``work(call)`` returns the `caperstack.play.scenario.Kind` of a call.
-    nested : callable
-        ``await nested(kind, call)`` makes the calls of a call's work and returns
-        whether all were answered.
+        The parameters of its behaviour.
+    kind_of : callable
+        ``kind_of(call)`` returns the `caperstack.play.scenario.Kind` of a call.
+    call_nested : callable
+        ``await call_nested(kind, call)`` makes the nested calls of a call and returns
+        whether all succeeded.
     rng : random.Random
-        The chance in its work.
+        Random generator of service times and faults.
     neighbour_rng : random.Random
-        The chance in its neighbour's visits, apart, so that they are the same
-        under every policy.
+        Random generator of the slow phases of the host. It is separate so that they are
+        the same under every policy.
+
+    Attributes
+    ----------
+    running : int
+        Calls that run now.
+    neighbour_factor : float
+        Factor by which the noisy neighbour slows work down now.
+    is_down : bool
+        Whether the server accepts no connections.
+    crashes : int
+        Number of crashes.
+    fault : caperstack.play.scenario.Event or None
+        The fault that affects the server now.
     """
 
-    def __init__(self, service, work, nested, rng, neighbour_rng):
+    def __init__(self, service, kind_of, call_nested, rng, neighbour_rng):
         self._service = service
-        self._kind_of = work
-        self._call_nested = nested
+        self._kind_of = kind_of
+        self._call_nested = call_nested
         self._rng = rng
         self._neighbour_rng = neighbour_rng
         self._waiting = deque()
@@ -52,49 +65,49 @@
         self.fault = None
 
     async def start(self, kernel):
-        """Nothing to start."""
+        """Do nothing."""
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing."""
 
     def listen(self, on_report):
-        """Call ``on_report(report)`` with what each answer tells."""
+        """Call ``on_report(report)`` with the `ServerReport` of each answer."""
         self._on_report = on_report
 
     def restart(self):
-        """Begin anew: cold, with no work."""
+        """Restart the server: it is cold and runs no calls."""
         self.make_cold()
         self.running = 0
         self._waiting.clear()
 
     def make_cold(self):
-        """Turn cold."""
+        """Make the server cold from now on for its cold time."""
         self._cold_since = now()
         self._cold_until = deadline_after(self._service.cold_seconds)
 
     @property
     def slowdown(self):
-        """How many times longer than usual work takes at this moment."""
+        """Factor by which work takes longer than nominally at this moment."""
         cold = self._service.cold_factor if now() < self._cold_until else 1.0
         return cold * self.neighbour_factor
 
     async def run_neighbour(self):
-        """Let the neighbour come and go, for ever."""
+        """Start and end slow phases caused by a noisy neighbour, until cancelled."""
         service = self._service
         while True:
-            taken = self._neighbour_rng.random() < service.visit_share
-            self.neighbour_factor = service.visit_factor if taken else 1.0
+            is_slow = self._neighbour_rng.random() < service.visit_share
+            self.neighbour_factor = service.visit_factor if is_slow else 1.0
             await asyncio.sleep(self._neighbour_rng.expovariate(1 / service.visit_seconds))
 
     async def probe(self, _path, _deadline):
-        """Answer a question after its health."""
+        """Report the load and return the health of the server."""
         if self.is_down:
             raise BackendError("no connection", step="connect", sent=False)
         self._send_report()
         return ServerHealth(True, max(0.0, time_left(self._cold_until)))
 
     async def listens(self, _deadline):
-        """Return whether the server is there."""
+        """Return whether the server accepts connections."""
         return not self.is_down
 
     def _send_report(self):
@@ -104,7 +117,7 @@
         self._on_report(report)
 
     async def fetch(self, call, _instance=""):
-        """Run `call` as the modelled server would."""
+        """Run `call` on the modelled server and return its answer or refusal."""
         if self.is_down:
             raise BackendError("no connection", step="connect", sent=False)
         self._count_start()
@@ -123,7 +136,7 @@
             raise BackendError("deadline passed", step="backend") from None
 
     def _count_start(self):
-        """Count a call; a cold server that got too many ends."""
+        """Count the start of a call; crash if the cold server got too many in a second."""
         bears = self._service.cold_bears
         moment = now()
         if not bears or moment >= self._cold_until:
@@ -146,7 +159,7 @@
         self.restart()
 
     def _fault_strikes(self, what):
-        """Return whether a fault of that kind strikes a call now."""
+        """Return whether a current fault of the kind `what` affects this call."""
         fault = self.fault
         return fault is not None and fault.what == what and self._rng.random() < fault.share
 
@@ -156,16 +169,16 @@
             return True
         if len(self._waiting) >= self._service.queue:
             return False
-        turn = asyncio.get_running_loop().create_future()
-        self._waiting.append(turn)
-        await turn
+        granted = asyncio.get_running_loop().create_future()
+        self._waiting.append(granted)
+        await granted
         return True
 
     def _release_slot(self):
         while self._waiting:
-            turn = self._waiting.popleft()
-            if not turn.done():
-                turn.set_result(None)
+            granted = self._waiting.popleft()
+            if not granted.done():
+                granted.set_result(None)
                 return
         self.running = max(0, self.running - 1)
 
--- a/caperstack/play/virtual.py
+++ b/caperstack/play/virtual.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next timer instead of waiting for it."""
+"""An event loop in virtual time, whose clock jumps to the next timer."""
 
 import asyncio
 import selectors
@@ -8,22 +8,22 @@
 
 __all__ = ["run_virtual"]
 
-#: Where the virtual clock begins, in seconds; well above zero, since a point in
-#: time of 0 means "never" in several places.
+#: Initial virtual time in seconds. It is well above zero because several modules
+#: use the time 0 for "never".
 START_SECONDS = 1000.0
 
 
 class _VirtualSelector(selectors.SelectSelector):
-    """A selector that advances the clock by the time it was to wait."""
+    """A selector that advances the virtual clock by the timeout instead of waiting."""
 
     def __init__(self):
         super().__init__()
         self.seconds = START_SECONDS
 
     def select(self, timeout=None):
-        """Jump; there is nothing to wait for but timers."""
+        """Advance the clock by `timeout` and return no events; only timers are supported."""
         if timeout is None:
-            raise CaperstackError("everything waits and no timer is set", step="play")
+            raise CaperstackError("all tasks wait and no timer is pending", step="play")
         self.seconds += max(0.0, timeout)
         return []
 
@@ -34,20 +34,27 @@
         super().__init__(self._clock)
 
     def time(self):
-        """Return the virtual time."""
+        """Return the virtual time in seconds."""
         return self._clock.seconds
 
 
 def run_virtual(create_coroutine):
-    """Run the coroutine that ``make()`` returns in virtual time and return its result.
+    """Run a coroutine in virtual time and return its result.
 
-    Everything that reads `caperstack.clock` sees the virtual time meanwhile. Nothing
-    in it may use sockets, threads or processes.
+    Parameters
+    ----------
+    create_coroutine : callable
+        ``create_coroutine()`` returns the coroutine. It must not use sockets, threads
+        or processes.
 
     Raises
     ------
     CaperstackError
-        If all tasks wait for something that no timer will bring about.
+        If all tasks wait and no timer is pending.
+
+    Notes
+    -----
+    `caperstack.clock` returns the virtual time while the coroutine runs.
     """
     loop = _VirtualLoop()
     with use_source(loop.time), asyncio.Runner(loop_factory=lambda: loop) as runner:
