--- a/caperstack/play/tests/test_main.py
+++ b/caperstack/play/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The command line of plays."""
+"""Test the command line of caperstack-play."""
 
 import contextlib
 import io
--- a/caperstack/play/tests/test_play.py
+++ b/caperstack/play/tests/test_play.py
@@ -1,4 +1,4 @@
-"""Loads that are played: what callers get, and that each gain is one."""
+"""Test simulated loads: what callers get, and that each mechanism improves it."""
 
 import asyncio
 import functools
@@ -19,7 +19,7 @@
 
 @functools.cache
 def figures(name, policy, seeds=2, kind=None):
-    """Return what callers, of one kind or all, got in the play of that file under a policy."""
+    """Return the `Figures` of a scenario file under a policy, of one kind of call or of all."""
     scenario = parse_scenario((PLAYS / f"{name}.json").read_text(encoding="utf-8"))
     results = []
     for seed in range(1, seeds + 1):
@@ -77,10 +77,11 @@
 
 
 class TestGains(unittest.TestCase):
-    """Each gain of the decision fails to show with the gain switched off.
+    """Callers get less if a single mechanism of the decisions is disabled.
 
-    A service of four servers loses two for good, with 87 listings of 220 ms a
-    second for the 28 slots that are left, a neighbour on one host in four.
+    In the scenario lost-servers, a service of four servers loses two permanently. 87
+    listings of 220 ms per second are left to 28 slots, and one host in four has a noisy
+    neighbour.
     """
 
     def assert_gain(self, scenario, weaker, least):
@@ -94,53 +95,55 @@
         self.assertEqual(figures_of(play(brief)), figures_of(play(brief)))
 
     def test_calls_that_can_be_in_time_are_not_kept_by_those_that_cannot(self):
-        # In the order of arrival, and with all waiting until their deadlines,
-        # all are late while the overload lasts.  Measured: a credit of 0.94
-        # in place of 0.88.
+        # If calls run in the order of arrival and all wait until their deadlines,
+        # all are late during an overload. Measured: a credit of 0.94 as shipped,
+        # 0.88 without.
         self.assert_gain("lost-servers", "plain queue", 0.03)
 
     def test_slots_are_rounded_down_or_the_limit_is_learnt(self):
-        # Nine calls at once where a share of 0.8 allows 8.8 slow a server down
-        # by more than the ninth slot brings.  Measured: 0.91 in place of 0.76.
+        # Nine concurrent calls where a slots_share of 0.8 allows 8.8 slow the server
+        # down by more than the ninth call gains. Measured: a credit of 0.91 as
+        # shipped, 0.76 without.
         self.assert_gain("short-work", "slots rounded up, not learnt", 0.08)
 
     def test_limit_is_learnt_where_servers_do_not_slow_down(self):
-        # Four fifths of the slots leave two of eleven empty for nothing, under
-        # 1.3 times the load.
+        # A fixed limit of four fifths of the slots leaves two of eleven unused without
+        # benefit, under 1.3 times the load.
         self.assert_gain("no-slope", "limit is not learnt", 0.05)
 
     def test_failures_elsewhere_close_no_gates(self):
-        # Eight in ten calls fail at one service for eight seconds, and with them
-        # lookups at another, whose servers are well.  With its gates closed
-        # payments there, which need no check, were refused: 0.92 of their worth
-        # in place of 0.97.
+        # For eight seconds, eight in ten calls fail at one service, and with them
+        # lookups at another service, whose servers are healthy. Open circuit breakers
+        # at the second service refused its payments, which need no call to the first:
+        # they earned a credit of 0.92, and 0.97 without the circuit breakers.
         shipped = figures("nested-failures", "shipped", kind="pay")
         self.assertGreater(shipped.credit, 0.95)
 
     def test_loads_are_told_to_those_who_call(self):
-        # Sixty hosts, where an entry calls a server each few seconds: what it is
-        # told is old by then.  Half of the messages bring callers nothing: over
-        # four seeds they earn 0.984 in place of 0.986, single seeds lie 0.033 apart.
-        told = {}
+        # With sixty hosts, an entry calls a given server every few seconds, so a load
+        # update is outdated by then. Half of the messages gain callers nothing: over
+        # four seeds the credit is 0.984 without them and 0.986 with them, while single
+        # seeds differ by 0.033.
+        by_policy = {}
         for policy in ("shipped", "loads told for five seconds"):
             counts = Counter()
             scenario = parse_scenario((PLAYS / "wide.json").read_text(encoding="utf-8"))
             results = play(scenario.model_copy(update={"seconds": 8.0}), policy, counts=counts)
-            told[policy] = (counts["loads told"], figures_of(results).credit)
-        (few, shipped), (many, before) = told.values()
+            by_policy[policy] = (counts["loads told"], figures_of(results).credit)
+        (few, shipped), (many, before) = by_policy.values()
         self.assertLess(few, 0.6 * many)
         self.assertGreater(shipped, before - 0.02)
 
     def test_callers_return_at_once_when_a_server_refused(self):
-        # Seven servers refuse half of their calls for four seconds.  A caller
-        # that is told to come back in 0.2 s is late with its second try.
-        # Measured: 0.04 late in place of 0.07.
+        # Seven servers refuse half of their calls for four seconds. A caller that
+        # is asked to retry after 0.2 s is late with its second attempt. Measured: a
+        # share of 0.04 is late as shipped, 0.07 with that delay.
         shipped = figures("short-faults", "shipped")
         without = figures("short-faults", "return later after a refusal")
         self.assertLess(shipped.late, 0.75 * without.late)
 
     def test_callers_without_a_slot_in_time_are_not_refused_again_and_again(self):
-        """Callers come back at once, are refused each time, and use up their tries."""
+        """Callers that retry at once are refused each time and use up their attempts."""
         shipped = figures("burst", "shipped")
         without = figures("burst", "callers return at once")
         self.assertLess(shipped.refused, 0.8 * without.refused)
@@ -150,24 +153,24 @@
         self.assert_gain("lost-servers", "visits ignored", 0.10)
 
     def test_a_question_before_a_start_notices_the_neighbour(self):
-        # On a calm day those are late who start at four times their cost, since
-        # a neighbour came in the twelfth of a second between two readings.
+        # Under low load, calls are late that start while work takes four times as
+        # long, because a slow phase began in the 1/12 s between two health probes.
         shipped = figures("calm", "shipped")
         without = figures("calm", "no question before a start")
         self.assertLess(shipped.late, 0.75 * without.late)
 
     def test_cold_servers_are_spared(self):
-        """All nodes and servers start anew, and cold servers end of the share that they get."""
+        """After a restart of all nodes and servers, cold servers crash from their share of calls."""
         self.assert_gain("cold-restart", "cold servers get any number", 0.05)
 
     def test_evacuated_zone_costs_its_calls_little(self):
-        """A third of the servers is out of use for five seconds, under a fifth more calls."""
+        """A third of the servers is unused for five seconds, under a fifth more calls."""
         shipped = figures("evacuation", "shipped", seeds=2)
         self.assertGreater(shipped.in_time + shipped.late, 0.95)
         self.assertLess(shipped.failed, 0.03)
 
     def test_after_a_restart_most_are_served(self):
-        # Single seeds lie between 0.947 and 0.995, so five are played.
+        # Single seeds give between 0.947 and 0.995, so five are simulated.
         shipped = figures("restart", "shipped", seeds=5)
         self.assertGreater(shipped.in_time + shipped.late, 0.97)
 
