--- a/caperstack/play/tests/test_main.py
+++ b/caperstack/play/tests/test_main.py
@@ -41,7 +41,7 @@
             status = main([str(self.scenario), *arguments])
         return status, out.getvalue(), err.getvalue()
 
-    def test_policies_stand_side_by_side(self):
+    def test_figures_of_each_policy_are_printed_and_written(self):
         policies = ["--policy", "shipped", "--policy", "two choices"]
         status, out, _ = self.run_main(SMALL, *policies, "--kinds", "--json", str(self.figures))
         self.assertEqual(status, 0)
@@ -50,7 +50,7 @@
         self.assertEqual(set(figures), {"shipped", "two choices"})
         self.assertGreater(figures["shipped"]["in_time"], 0.8)
 
-    def test_what_is_wrong_is_told(self):
+    def test_error_names_the_bad_field(self):
         status, _, err = self.run_main(SMALL | {"seconds": 0})
         self.assertEqual(status, 2)
         self.assertIn("seconds", err)
--- a/caperstack/play/tests/test_play.py
+++ b/caperstack/play/tests/test_play.py
@@ -30,7 +30,7 @@
 class TestVirtualTime(unittest.TestCase):
     """`run_virtual`."""
 
-    def test_an_hour_passes_at_once(self):
+    def test_virtual_hour_takes_no_real_time(self):
         async def hour():
             begun = now()
             await asyncio.sleep(3600.0)
@@ -47,7 +47,7 @@
         run_virtual(nothing)
         self.assertLess(now() - before, 40.0)
 
-    def test_what_never_ends_is_told(self):
+    def test_error_if_no_timer_is_pending(self):
         async def stuck():
             await asyncio.get_running_loop().create_future()
 
@@ -71,7 +71,7 @@
         document = {"services": [{"name": "s", "servers": 1}], "kinds": kinds}
         self.assertIn("no service 't'", self.refused(json.dumps(document)))
 
-    def test_unknown_policy_is_told(self):
+    def test_error_on_unknown_policy(self):
         with self.assertRaises(ConfigurationError), policy_in_force("none such"):
             pass
 
@@ -84,17 +84,17 @@
     neighbour.
     """
 
-    def assert_gain(self, scenario, weaker, least):
+    def assert_gain(self, scenario, weakened_policy, min_gain):
         shipped = figures(scenario, "shipped")
-        without = figures(scenario, weaker)
-        self.assertGreater(shipped.credit, without.credit + least, weaker)
+        without = figures(scenario, weakened_policy)
+        self.assertGreater(shipped.credit, without.credit + min_gain, weakened_policy)
 
     def test_the_same_seed_gives_the_same_play(self):
         scenario = parse_scenario((PLAYS / "lost-servers.json").read_text(encoding="utf-8"))
         brief = scenario.model_copy(update={"seconds": 3.0})
         self.assertEqual(figures_of(play(brief)), figures_of(play(brief)))
 
-    def test_calls_that_can_be_in_time_are_not_kept_by_those_that_cannot(self):
+    def test_late_calls_do_not_delay_calls_that_can_be_in_time(self):
         # If calls run in the order of arrival and all wait until their deadlines,
         # all are late during an overload. Measured: a credit of 0.94 as shipped,
         # 0.88 without.
@@ -111,7 +111,7 @@
         # benefit, under 1.3 times the load.
         self.assert_gain("no-slope", "limit is not learnt", 0.05)
 
-    def test_failures_elsewhere_close_no_gates(self):
+    def test_failures_of_another_service_open_no_circuit_breakers(self):
         # For eight seconds, eight in ten calls fail at one service, and with them
         # lookups at another service, whose servers are healthy. Open circuit breakers
         # at the second service refused its payments, which need no call to the first:
@@ -119,7 +119,7 @@
         shipped = figures("nested-failures", "shipped", kind="pay")
         self.assertGreater(shipped.credit, 0.95)
 
-    def test_loads_are_told_to_those_who_call(self):
+    def test_load_updates_go_only_to_entries_that_call(self):
         # With sixty hosts, an entry calls a given server every few seconds, so a load
         # update is outdated by then. Half of the messages gain callers nothing: over
         # four seeds the credit is 0.984 without them and 0.986 with them, while single
@@ -134,7 +134,7 @@
         self.assertLess(few, 0.6 * many)
         self.assertGreater(shipped, before - 0.02)
 
-    def test_callers_return_at_once_when_a_server_refused(self):
+    def test_callers_retry_at_once_when_a_server_refused(self):
         # Seven servers refuse half of their calls for four seconds. A caller that
         # is asked to retry after 0.2 s is late with its second attempt. Measured: a
         # share of 0.04 is late as shipped, 0.07 with that delay.
@@ -142,25 +142,25 @@
         without = figures("short-faults", "return later after a refusal")
         self.assertLess(shipped.late, 0.75 * without.late)
 
-    def test_callers_without_a_slot_in_time_are_not_refused_again_and_again(self):
+    def test_callers_without_a_slot_in_time_are_not_refused_repeatedly(self):
         """Callers that retry at once are refused each time and use up their attempts."""
         shipped = figures("burst", "shipped")
         without = figures("burst", "callers return at once")
         self.assertLess(shipped.refused, 0.8 * without.refused)
         self.assertGreater(shipped.credit, without.credit - 0.03)
 
-    def test_hosts_with_a_neighbour_are_left_alone(self):
+    def test_hosts_in_a_slow_phase_are_avoided(self):
         self.assert_gain("lost-servers", "visits ignored", 0.10)
 
-    def test_a_question_before_a_start_notices_the_neighbour(self):
+    def test_health_probe_before_a_start_detects_a_slow_phase(self):
         # Under low load, calls are late that start while work takes four times as
         # long, because a slow phase began in the 1/12 s between two health probes.
         shipped = figures("calm", "shipped")
         without = figures("calm", "no question before a start")
         self.assertLess(shipped.late, 0.75 * without.late)
 
-    def test_cold_servers_are_spared(self):
-        """After a restart of all nodes and servers, cold servers crash from their share of calls."""
+    def test_starts_at_cold_servers_are_limited(self):
+        """After all nodes and servers restart, cold servers crash from their share of calls."""
         self.assert_gain("cold-restart", "cold servers get any number", 0.05)
 
     def test_evacuated_zone_costs_its_calls_little(self):
@@ -169,7 +169,7 @@
         self.assertGreater(shipped.in_time + shipped.late, 0.95)
         self.assertLess(shipped.failed, 0.03)
 
-    def test_after_a_restart_most_are_served(self):
+    def test_most_requests_are_served_after_a_restart(self):
         # Single seeds give between 0.947 and 0.995, so five are simulated.
         shipped = figures("restart", "shipped", seeds=5)
         self.assertGreater(shipped.in_time + shipped.late, 0.97)
