--- a/caperstack/bench/demo.py
+++ b/caperstack/bench/demo.py
@@ -9,7 +9,7 @@
 from caperstack.clock import wall_microseconds
 from caperstack.events.timeline import fetch_events, merged, text_lines
 from caperstack.load.generator import run_calls
-from caperstack.load.ledger import judge, merged_ledger
+from caperstack.load.ledger import check_against_ledger, merged_ledger
 from caperstack.load.plan import parse_mix, plan_calls
 from caperstack.load.report import figures_of, table_of
 
@@ -62,7 +62,7 @@
     results = await run_calls(plan)
     status = await trouble
     figures = figures_of(results)
-    judgement = judge(results, merged_ledger(await fleet.ledgers()))
+    judgement = check_against_ledger(results, merged_ledger(await fleet.ledgers()))
     print(table_of(figures))
     print(f"\nPromises: {judgement}; the drained node ended with status {status}")
     await _show_timeline(fleet, since)
--- a/caperstack/bench/torture.py
+++ b/caperstack/bench/torture.py
@@ -10,7 +10,7 @@
 from caperstack.bench.faults import FAULTS, Arena
 from caperstack.bench.scenario import SUBTREES, ProxiedFleet
 from caperstack.clock import now
-from caperstack.load.generator import Senders
+from caperstack.load.generator import NodeClients
 from caperstack.load.plan import CallClass, plan_calls
 from caperstack.soak.verdict import Verdict
 
@@ -72,7 +72,7 @@
 
 async def _drive(arena, seconds, rate, seed):
     addresses = [arena.fleet.caller_address(host) for host in sorted(arena.fleet.settings)]
-    senders = Senders()
+    senders = NodeClients()
     tasks = []
     start = now()
     for planned in plan_calls(CLASSES, addresses, rate, seconds, seed):
--- a/caperstack/load/generator.py
+++ b/caperstack/load/generator.py
@@ -12,18 +12,18 @@
 from caperstack.exception import BackendError
 from caperstack.standin.backend import LEDGER_ID, expected_body
 
-__all__ = ["CallResult", "Senders", "run_calls"]
+__all__ = ["CallResult", "NodeClients", "run_calls"]
 
 #: Connections to one node; beyond, calls wait in the client as callers' would.
-CONNECTIONS = 500
+CONNECTIONS_PER_NODE = 500
 
-MAX_ANSWER = 128 * 1024 * 1024
+MAX_ANSWER_BYTES = 128 * 1024 * 1024
 
 #: The sender waits longer than it tells, so it writes the time left itself.
-OWN_WORDS = Dialect(time_left="")
+DIALECT_WITHOUT_TIME_LEFT = Dialect(time_left="")
 
 #: How much longer than its deadline a call is waited for, in seconds.
-PATIENCE_SECONDS = 5.0
+EXTRA_WAIT_SECONDS = 5.0
 
 PROGRESS_SECONDS = 10.0
 
@@ -60,7 +60,7 @@
     sent: bool = True
 
 
-class Senders:
+class NodeClients:
     """A client for each node that calls go to."""
 
     def __init__(self):
@@ -78,7 +78,9 @@
         """
         client = self._clients.get(planned.target)
         if client is None:
-            client = BackendClient(planned.target, CONNECTIONS, MAX_ANSWER, OWN_WORDS)
+            client = BackendClient(
+                planned.target, CONNECTIONS_PER_NODE, MAX_ANSWER_BYTES, DIALECT_WITHOUT_TIME_LEFT
+            )
             self._clients[planned.target] = client
         return await _send(planned, client, start)
 
@@ -100,11 +102,11 @@
     on_result : callable, optional
         Called with each result as it comes.
     """
-    senders = Senders()
+    senders = NodeClients()
     results = []
     tasks = set()
     start = now()
-    reporter = asyncio.create_task(_report(results, tasks, start)) if progress else None
+    reporter = asyncio.create_task(_print_progress(results, tasks, start)) if progress else None
 
     def note(task):
         tasks.discard(task)
@@ -128,25 +130,25 @@
 
 
 async def _send(planned, client, start):
-    call = _call(planned)
+    call = _build_call(planned)
     try:
         answer = await client.fetch(call)
     except BackendError as error:
-        return _result(planned, start, 0, "no answer", error.message, True, error.sent)
+        return _build_result(planned, start, 0, "no answer", error.message, True, error.sent)
     headers = {name.lower(): value for name, value in answer.headers}
     outcome = headers.get(OUTCOME.lower(), "answered")
     reason = headers.get("caperstack-reason", "")
-    whole = answer.status != 200 or answer.body == _expected(planned)
-    return _result(planned, start, answer.status, outcome, reason, whole)
+    whole = answer.status != 200 or answer.body == _expected_answer(planned)
+    return _build_result(planned, start, answer.status, outcome, reason, whole)
 
 
-def _expected(planned):
+def _expected_answer(planned):
     if planned.kind.method == "HEAD":
         return b""
     return expected_body(planned.name, 64, planned.body)
 
 
-def _call(planned):
+def _build_call(planned):
     milliseconds = int(planned.kind.deadline_seconds * 1000)
     headers = [
         ("Host", planned.target),
@@ -164,12 +166,12 @@
         target=planned.kind.path,
         headers=headers,
         body=planned.body,
-        deadline=deadline_after(planned.kind.deadline_seconds + PATIENCE_SECONDS),
+        deadline=deadline_after(planned.kind.deadline_seconds + EXTRA_WAIT_SECONDS),
         idempotent=False,
     )
 
 
-def _result(planned, start, status, outcome, reason, whole, sent=True):
+def _build_result(planned, start, status, outcome, reason, whole, sent=True):
     seconds = now() - start - planned.due
     return CallResult(
         planned.name,
@@ -187,7 +189,7 @@
     )
 
 
-async def _report(results, tasks, start):
+async def _print_progress(results, tasks, start):
     while True:
         await asyncio.sleep(PROGRESS_SECONDS)
         line = f"{now() - start:6.0f} s: {len(results)} ended, {len(tasks)} in flight"
--- a/caperstack/load/ledger.py
+++ b/caperstack/load/ledger.py
@@ -3,11 +3,11 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-__all__ = ["Judgement", "judge", "merged_ledger"]
+__all__ = ["LedgerCheck", "check_against_ledger", "merged_ledger"]
 
 
 @dataclass
-class Judgement:
+class LedgerCheck:
     """Broken promises, by the names of the calls."""
 
     doubled: list = field(default_factory=list)
@@ -35,8 +35,8 @@
     return total
 
 
-def judge(results, ledger):
-    """Return the `Judgement` of results.
+def check_against_ledger(results, ledger):
+    """Return the `LedgerCheck` of results.
 
     Parameters
     ----------
@@ -45,7 +45,7 @@
     ledger : dict of str to int
         How often each call ran.
     """
-    judgement = Judgement()
+    judgement = LedgerCheck()
     for result in results:
         runs = ledger.get(result.name, 0)
         if runs > 1 and not result.idempotent:
--- a/caperstack/load/main.py
+++ b/caperstack/load/main.py
@@ -38,7 +38,7 @@
     return parser
 
 
-def _checked(options):
+def _validate_options(options):
     for target in options.targets:
         try:
             ip, _ = split_address(target)
@@ -56,7 +56,7 @@
     """Run the command line; return the exit status."""
     options = _parser().parse_args(arguments)
     try:
-        classes = _checked(options)
+        classes = _validate_options(options)
     except (OSError, ConfigurationError) as error:
         print(f"caperstack-load: {error}", file=sys.stderr)
         return EXIT_BAD_ARGUMENTS
--- a/caperstack/load/report.py
+++ b/caperstack/load/report.py
@@ -7,18 +7,18 @@
 
 __all__ = ["ClassFigures", "figures_of", "latency_histogram", "table_of"]
 
-LOWEST_US = 1
-HIGHEST_US = 3_600_000_000
-DIGITS = 3
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 3
 
 PERCENTILES = (50, 99, 99.9)
 
 
 def latency_histogram(seconds):
     """Return an `HdrHistogram` of an iterable of latencies in seconds."""
-    histogram = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    histogram = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     for latency in seconds:
-        histogram.record_value(max(LOWEST_US, int(latency * 1e6)))
+        histogram.record_value(max(MIN_LATENCY_US, int(latency * 1e6)))
     return histogram
 
 
@@ -38,7 +38,7 @@
         self.statuses[result.status] += 1
         self.late += result.late
         self.broken += not result.whole
-        self.histogram.record_value(max(LOWEST_US, int(result.seconds * 1e6)))
+        self.histogram.record_value(max(MIN_LATENCY_US, int(result.seconds * 1e6)))
 
     def milliseconds(self, percentile):
         """Return a percentile of the latency in milliseconds."""
