--- a/caperstack/load/__init__.py
+++ b/caperstack/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load and experiment tool."""
+"""Load generator for experiments: open-loop load on nodes, latencies and ledger checks."""
--- a/caperstack/load/generator.py
+++ b/caperstack/load/generator.py
@@ -1,4 +1,4 @@
-"""Send planned calls in an open loop and note how each one ended."""
+"""Send planned calls in an open loop and record the result of each."""
 
 import asyncio
 import sys
@@ -14,36 +14,55 @@
 
 __all__ = ["CallResult", "NodeClients", "run_calls"]
 
-#: Connections to one node; beyond, calls wait in the client as callers' would.
+#: Maximum number of connections to one node. Further calls wait in the client, as they
+#: do with real callers.
 CONNECTIONS_PER_NODE = 500
 
 MAX_ANSWER_BYTES = 128 * 1024 * 1024
 
-#: The sender waits longer than it tells, so it writes the time left itself.
+#: Keeps the client from writing the time-left header. The generator writes it itself,
+#: since it waits for longer than the time that it tells the node.
 DIALECT_WITHOUT_TIME_LEFT = Dialect(time_left="")
 
-#: How much longer than its deadline a call is waited for, in seconds.
+#: Time after its deadline for which the answer to a call is awaited, in seconds.
 EXTRA_WAIT_SECONDS = 5.0
 
+#: Interval of the progress lines, in seconds.
 PROGRESS_SECONDS = 10.0
 
 
 @dataclass(slots=True)
 class CallResult:
-    """How one call ended.
+    """The result of one call.
 
     Attributes
     ----------
+    name : str
+        Name of the call in the ledgers.
+    kind : str
+        Name of its `caperstack.load.plan.CallClass`.
+    idempotent : bool
+        Whether the call may run more than once.
+    target : str
+        Address of the node.
+    due : float
+        Planned time of sending, in seconds from the start.
+    status : int
+        HTTP status; 0 without an answer.
     outcome : str
-        "answered", "not-run", "unknown", or "no answer" if the connection
-        broke or stayed silent.
+        "answered", "not-run", "unknown", or "no answer" if the connection broke or no
+        answer came in time.
+    reason : str
+        The reason that the node gave, or the message of the connection error.
     seconds : float
-        From the moment at which the call was due, so that a sender that falls
-        behind shows in the figures.
+        Latency, counted from the planned time of sending so that a delay in the
+        generator shows in the figures.
+    late : bool
+        Whether the latency exceeded the deadline.
     whole : bool
-        For an answer of status 200: whether it is the whole of its own answer.
+        False if an answer of status 200 is incomplete or belongs to another call.
     sent : bool
-        Whether the node may have got the request.
+        Whether the node may have received the request.
     """
 
     name: str
@@ -61,7 +80,7 @@
 
 
 class NodeClients:
-    """A client for each node that calls go to."""
+    """HTTP clients, one for each node that gets calls."""
 
     def __init__(self):
         self._clients = {}
@@ -74,7 +93,7 @@
         planned : caperstack.load.plan.PlannedCall
             The call.
         start : float
-            The point on the monotonic clock from which ``due`` counts.
+            Time on the monotonic clock to which ``due`` is relative.
         """
         client = self._clients.get(planned.target)
         if client is None:
@@ -91,24 +110,29 @@
 
 
 async def run_calls(plan, progress=False, on_result=None):
-    """Send the calls of `plan` when they are due; return the list of `CallResult`.
+    """Send the calls of `plan` when they are due, whether earlier ones have ended or not.
 
     Parameters
     ----------
     plan : iterable of caperstack.load.plan.PlannedCall
         The calls, in order of ``due``.
     progress : bool
-        Whether to print a line every ten seconds.
+        Whether to print a line to stderr every ten seconds.
     on_result : callable, optional
-        Called with each result as it comes.
+        Called as ``on_result(result)`` with each `CallResult`.
+
+    Returns
+    -------
+    list of CallResult
+        The results, in the order in which the calls ended.
     """
-    senders = NodeClients()
+    clients = NodeClients()
     results = []
     tasks = set()
     start = now()
     reporter = asyncio.create_task(_print_progress(results, tasks, start)) if progress else None
 
-    def note(task):
+    def record(task):
         tasks.discard(task)
         results.append(task.result())
         if on_result is not None:
@@ -118,14 +142,14 @@
         wait = start + planned.due - now()
         if wait > 0:
             await asyncio.sleep(wait)
-        task = asyncio.create_task(senders.send(planned, start))
+        task = asyncio.create_task(clients.send(planned, start))
         tasks.add(task)
-        task.add_done_callback(note)
+        task.add_done_callback(record)
     while tasks:
         await asyncio.wait(tasks)
     if reporter is not None:
         reporter.cancel()
-    await senders.close()
+    await clients.close()
     return results
 
 
--- a/caperstack/load/ledger.py
+++ b/caperstack/load/ledger.py
@@ -1,4 +1,4 @@
-"""Judge outcomes against the ledgers of the stand-in backend servers."""
+"""Check the outcomes of calls against the ledgers of the stand-in backend servers."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -8,7 +8,19 @@
 
 @dataclass
 class LedgerCheck:
-    """Broken promises, by the names of the calls."""
+    """Names of the calls that violate a guarantee.
+
+    Attributes
+    ----------
+    doubled : list of str
+        Calls that are not idempotent and ran more than once.
+    false_not_run : list of str
+        Calls that ran although the caller was told that they did not.
+    lost : list of str
+        Calls with an answer of status 200 that did not run.
+    wrong : list of str
+        Calls with an answer that is incomplete or belongs to another call.
+    """
 
     doubled: list = field(default_factory=list)
     false_not_run: list = field(default_factory=list)
@@ -17,7 +29,7 @@
 
     @property
     def clean(self):
-        """Whether every promise was kept."""
+        """Whether no call violates a guarantee."""
         return not (self.doubled or self.false_not_run or self.lost or self.wrong)
 
     def __str__(self):
@@ -28,7 +40,13 @@
 
 
 def merged_ledger(ledgers):
-    """Return how often each call ran over all servers, a `Counter`."""
+    """Return a `Counter` of how often each call ran on all servers together.
+
+    Parameters
+    ----------
+    ledgers : dict
+        For each server the document of its ``/ledger`` endpoint.
+    """
     total = Counter()
     for ledger in ledgers.values():
         total.update(ledger["ledger"])
@@ -36,24 +54,24 @@
 
 
 def check_against_ledger(results, ledger):
-    """Return the `LedgerCheck` of results.
+    """Return a `LedgerCheck` that compares results with the ledger.
 
     Parameters
     ----------
     results : iterable of caperstack.load.generator.CallResult
-        What callers were told.
+        What the callers were told.
     ledger : dict of str to int
         How often each call ran.
     """
-    judgement = LedgerCheck()
+    check = LedgerCheck()
     for result in results:
         runs = ledger.get(result.name, 0)
         if runs > 1 and not result.idempotent:
-            judgement.doubled.append(result.name)
+            check.doubled.append(result.name)
         if runs and result.outcome == "not-run":
-            judgement.false_not_run.append(result.name)
+            check.false_not_run.append(result.name)
         if not runs and result.outcome == "answered" and result.status == 200:
-            judgement.lost.append(result.name)
+            check.lost.append(result.name)
         if not result.whole:
-            judgement.wrong.append(result.name)
-    return judgement
+            check.wrong.append(result.name)
+    return check
--- a/caperstack/load/main.py
+++ b/caperstack/load/main.py
@@ -1,4 +1,4 @@
-"""caperstack-load: open-loop load on the callers' ports of nodes on loopback."""
+"""Command line of caperstack-load: open-loop load on the callers' ports of nodes on loopback."""
 
 import argparse
 import asyncio
@@ -23,22 +23,29 @@
     parser = argparse.ArgumentParser(
         prog="caperstack-load",
         description=(
-            "Send calls at a fixed rate whatever the answers do (open loop), check that each "
-            "answer is whole and its own, and print outcomes and latencies. Latency counts from "
-            "the moment at which a call was due."
+            "Send calls at a fixed rate independent of the answers (open loop), check that each "
+            "answer is complete and belongs to its call, and print outcomes and latencies. "
+            "Latency counts from the planned time of sending."
         ),
     )
-    parser.add_argument("targets", nargs="+", help="callers' addresses of nodes, ip:port")
+    parser.add_argument(
+        "targets", nargs="+", help="addresses of the callers' ports of nodes, ip:port"
+    )
     parser.add_argument("--mix", required=True, help="JSON file with the classes of calls")
-    parser.add_argument("--rate", type=float, default=100.0, help="calls a second")
-    parser.add_argument("--seconds", type=float, default=10.0, help="how long calls are sent")
-    parser.add_argument("--seed", type=int, default=1, help="of arrivals and choices")
+    parser.add_argument("--rate", type=float, default=100.0, help="calls per second")
+    parser.add_argument(
+        "--seconds", type=float, default=10.0, help="duration of sending, in seconds"
+    )
+    parser.add_argument(
+        "--seed", type=int, default=1, help="seed of arrival times and random choices"
+    )
     parser.add_argument("--json", help="write the figures to this file")
     parser.add_argument("--version", action="version", version=f"%(prog)s {__version__}")
     return parser
 
 
 def _validate_options(options):
+    """Check the options; return the list of `CallClass` in the mix file."""
     for target in options.targets:
         try:
             ip, _ = split_address(target)
--- a/caperstack/load/plan.py
+++ b/caperstack/load/plan.py
@@ -1,4 +1,4 @@
-"""What the load tool sends and when: a stream of planned calls."""
+"""Plan the calls of the load generator and when it sends them."""
 
 import json
 import random
@@ -16,7 +16,7 @@
 
 
 class CallClass(BaseModel):
-    """One kind of call in a mix."""
+    """One class of calls in a mix."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -30,7 +30,7 @@
 
     @property
     def idempotent(self):
-        """Whether the method is safe, so that the call may run again."""
+        """Whether the method is safe, so that the call may run more than once."""
         return self.method in ("GET", "HEAD")
 
 
@@ -40,7 +40,23 @@
 
 @dataclass(slots=True)
 class PlannedCall:
-    """One call: when it is due in seconds from the start, and where it goes."""
+    """One planned call.
+
+    Attributes
+    ----------
+    due : float
+        Planned time of sending, in seconds from the start.
+    name : str
+        Name of the call in the ledgers.
+    kind : CallClass
+        Its class.
+    target : str
+        Address of the node.
+    key : str
+        Idempotency key, or "" for none.
+    body : bytes
+        Body of the request.
+    """
 
     due: float
     name: str
@@ -56,7 +72,7 @@
     Raises
     ------
     ConfigurationError
-        Naming the field and the reason.
+        If `text` is not valid; the error names the field and the reason.
     """
     try:
         return _Mix.model_validate(json.loads(text)).classes
@@ -68,7 +84,7 @@
 
 
 def new_key(rng):
-    """Return an idempotency key: a UUID version 7, which tells when it was made."""
+    """Return a new idempotency key: a UUID version 7, which contains its creation time."""
     milliseconds = time.time_ns() // 1_000_000
     value = milliseconds << 80 | 7 << 76 | rng.getrandbits(12) << 64
     value |= 2 << 62 | rng.getrandbits(62)
@@ -76,20 +92,20 @@
 
 
 def plan_calls(classes, targets, rate, seconds, seed):
-    """Yield `PlannedCall` with Poisson arrivals.
+    """Yield a `PlannedCall` for each arrival of a Poisson process.
 
     Parameters
     ----------
     classes : list of CallClass
         The mix.
     targets : list of str
-        Node addresses; each call goes to one at random, as callers do.
+        Addresses of nodes; each call goes to a random one, as with real callers.
     rate : float
-        Calls a second.
+        Calls per second.
     seconds : float
-        How long calls are due.
+        Duration of the plan, in seconds.
     seed : int
-        Of the chance in it.
+        Seed of the random generator.
     """
     rng = random.Random(seed)
     shares = [kind.share for kind in classes]
--- a/caperstack/load/report.py
+++ b/caperstack/load/report.py
@@ -1,4 +1,4 @@
-"""Figures of a run: outcomes and latencies by class, as a dict and as a table."""
+"""Figures of a run: outcomes and latencies of each class of calls, as a dict and a table."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -7,6 +7,7 @@
 
 __all__ = ["ClassFigures", "figures_of", "latency_histogram", "table_of"]
 
+#: Range in microseconds and precision of latency histograms.
 MIN_LATENCY_US = 1
 MAX_LATENCY_US = 3_600_000_000
 SIGNIFICANT_DIGITS = 3
@@ -15,7 +16,7 @@
 
 
 def latency_histogram(seconds):
-    """Return an `HdrHistogram` of an iterable of latencies in seconds."""
+    """Return an `HdrHistogram` in microseconds of an iterable of latencies in seconds."""
     histogram = HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     for latency in seconds:
         histogram.record_value(max(MIN_LATENCY_US, int(latency * 1e6)))
@@ -24,7 +25,7 @@
 
 @dataclass
 class ClassFigures:
-    """The figures of one class of calls."""
+    """Outcomes, statuses and latencies of one class of calls."""
 
     outcomes: Counter = field(default_factory=Counter)
     statuses: Counter = field(default_factory=Counter)
@@ -33,7 +34,7 @@
     histogram: HdrHistogram = field(default_factory=lambda: latency_histogram(()))
 
     def add(self, result):
-        """Count one result."""
+        """Add one `caperstack.load.generator.CallResult`."""
         self.outcomes[result.outcome] += 1
         self.statuses[result.status] += 1
         self.late += result.late
@@ -41,7 +42,7 @@
         self.histogram.record_value(max(MIN_LATENCY_US, int(result.seconds * 1e6)))
 
     def milliseconds(self, percentile):
-        """Return a percentile of the latency in milliseconds."""
+        """Return the given percentile of the latency, in milliseconds."""
         return self.histogram.get_value_at_percentile(percentile) / 1000
 
     def as_dict(self):
@@ -57,7 +58,7 @@
 
 
 def figures_of(results):
-    """Return the `ClassFigures` of each class, and of ``all``, by name."""
+    """Return a dict of the `ClassFigures` of each class, and of all calls under ``all``."""
     figures = {}
     for result in results:
         for name in (result.kind, "all"):
@@ -66,7 +67,7 @@
 
 
 def table_of(figures):
-    """Return a table of figures as text."""
+    """Return the figures as a table in plain text."""
     columns = ("calls", "answered", "not-run", "unknown", "no answer", "late", "wrong")
     rows = [("class", *columns, *(f"p{p} ms" for p in PERCENTILES))]
     for name, one in figures.items():
--- a/caperstack/load/tests/test_generator.py
+++ b/caperstack/load/tests/test_generator.py
@@ -1,4 +1,4 @@
-"""The load tool against a real node."""
+"""Test the load generator against real nodes."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 class TestRunCalls(unittest.IsolatedAsyncioTestCase):
-    """`run_calls`."""
+    """Test `run_calls`."""
 
     async def test_planned_calls_are_sent_and_their_answers_checked(self):
         fleet = await self.enterAsyncContext(small_fleet(2))
