--- a/caperstack/standin/backend.py
+++ b/caperstack/standin/backend.py
@@ -14,21 +14,21 @@
 
 from caperstack.calls.headers import DEPTH, REQUEST_ID, TIME_LEFT, TRACEPARENT
 
-__all__ = ["LEDGER_ID", "StandinBackend", "Troubles", "expected_body"]
+__all__ = ["LEDGER_ID", "BackendFaults", "StandinBackend", "expected_body"]
 
 #: Names a call in the ledger; the load tool makes one up for each call.
 LEDGER_ID = "Ledger-Id"
 
 COLD_FACTOR = 3.0
-MAX_BODY = 128 * 1024 * 1024
+MAX_BODY_BYTES = 128 * 1024 * 1024
 
 #: Calls to other services at once; tornado's own bound is below the slots.
-MAX_DEEPER = 10_000
-_PASSED_ON = (TRACEPARENT, REQUEST_ID, DEPTH)
+MAX_NESTED_CALLS = 10_000
+_FORWARDED_HEADERS = (TRACEPARENT, REQUEST_ID, DEPTH)
 
 
 @dataclass
-class Troubles:
+class BackendFaults:
     """What ails the server; set by ``POST /control`` with any of these names.
 
     Attributes
@@ -75,7 +75,7 @@
     return head + (filler * (size // len(filler) + 1))[:size]
 
 
-def _next_path(path):
+def _next_chain_path(path):
     """Return where a call of a chain goes on: from ``/l3`` to ``/l4``, else the same path."""
     level = path.removeprefix("/l")
     return f"/l{int(level) + 1}" if level.isdigit() else path
@@ -101,7 +101,7 @@
     def __init__(self, port, slots=20, mean_seconds=0.0, sigma=1.0, node="", seed=0):
         self._port = port
         self._slots = asyncio.Semaphore(slots)
-        self._mean = mean_seconds
+        self._mean_seconds = mean_seconds
         self._sigma = sigma
         self._node = node
         self._random = random.Random(seed)
@@ -109,29 +109,29 @@
         self._run_at = {}
         self._running = 0
         self._waiting = 0
-        self._history = []
-        self._measured = 0
-        self._after_drain = 0
+        self._load_history = []
+        self._probes = 0
+        self._calls_after_drain = 0
         self._drained_at = None
         self._started = time.time()
         self._server = None
-        self._tasks = set()
-        self.troubles = Troubles()
+        self._handlers = set()
+        self.faults = BackendFaults()
 
     async def start(self):
         """Listen."""
         self._server = HTTPServer(
-            self._accept,
-            max_body_size=MAX_BODY,
-            max_buffer_size=MAX_BODY,
+            self._start_handling,
+            max_body_size=MAX_BODY_BYTES,
+            max_buffer_size=MAX_BODY_BYTES,
             idle_connection_timeout=3600,
         )
         self._server.listen(self._port, "127.0.0.1", backlog=1024)
 
-    def _accept(self, request):
+    def _start_handling(self, request):
         task = asyncio.create_task(self._handle(request))
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+        self._handlers.add(task)
+        task.add_done_callback(self._handlers.discard)
         request.connection.set_close_callback(task.cancel)
 
     async def _handle(self, request):
@@ -150,47 +150,47 @@
     # -- endpoints --------------------------------------------------------
 
     def _health(self, request):
-        self._measured += 1
-        if self.troubles.mute:
+        self._probes += 1
+        if self.faults.mute:
             return 500, {}
-        state = "draining" if self.troubles.draining else "cold" if self._cold else "ok"
+        state = "draining" if self.faults.draining else "cold" if self._is_cold else "ok"
         return 200, {"state": state, "started": self._started}
 
     @property
-    def _cold(self):
-        return time.time() - self._started < self.troubles.cold_seconds
+    def _is_cold(self):
+        return time.time() - self._started < self.faults.cold_seconds
 
     def _load(self, request):
-        self._measured += 1
-        if self.troubles.mute:
+        self._probes += 1
+        if self.faults.mute:
             return 500, {}
-        if self.troubles.lie_in_flight >= 0:
-            return 200, {"in_flight": self.troubles.lie_in_flight}
+        if self.faults.lie_in_flight >= 0:
+            return 200, {"in_flight": self.faults.lie_in_flight}
         moment = time.time()
-        self._history.append((moment, self._running + self._waiting))
-        wanted = moment - self.troubles.load_lag_seconds
-        older = [entry for entry in self._history if entry[0] <= wanted]
-        self._history = self._history[-100:]
-        return 200, {"in_flight": (older or self._history)[-1][1]}
+        self._load_history.append((moment, self._running + self._waiting))
+        wanted = moment - self.faults.load_lag_seconds
+        older = [entry for entry in self._load_history if entry[0] <= wanted]
+        self._load_history = self._load_history[-100:]
+        return 200, {"in_flight": (older or self._load_history)[-1][1]}
 
     def _show_ledger(self, request):
         return 200, {
             "runs": sum(self._ledger.values()),
             "ledger": self._ledger,
             "run_at": self._run_at,
-            "after_drain": self._after_drain,
-            "measured": self._measured,
+            "after_drain": self._calls_after_drain,
+            "measured": self._probes,
             "seconds": time.time() - self._started,
         }
 
     def _control(self, request):
         document = json.loads(request.body)
-        known = {field.name for field in fields(Troubles)}
+        known = {field.name for field in fields(BackendFaults)}
         unknown = set(document) - known
         if unknown:
             return 400, {"field": sorted(unknown)[0], "reason": "no such trouble"}
         for name, value in document.items():
-            setattr(self.troubles, name, value)
+            setattr(self.faults, name, value)
         if document.get("cold_seconds"):
             self._started = time.time()
         if "draining" in document:
@@ -200,10 +200,10 @@
     # -- calls ------------------------------------------------------------
 
     async def _serve(self, request):
-        if self.troubles.fail_status:
-            self._respond(request, self.troubles.fail_status, b"failing")
+        if self.faults.fail_status:
+            self._respond(request, self.faults.fail_status, b"failing")
             return
-        if self.troubles.shed_above and self._waiting >= self.troubles.shed_above:
+        if self.faults.shed_above and self._waiting >= self.faults.shed_above:
             self._respond(request, 503, b"shed")
             return
         self._waiting += 1
@@ -223,40 +223,40 @@
         self._ledger[name] += 1
         self._run_at[name] = time.time()
         if self._drained_at is not None and time.time() - self._drained_at > 2.0:
-            self._after_drain += 1
-        if self._mean:
+            self._calls_after_drain += 1
+        if self._mean_seconds:
             await asyncio.sleep(self._service_seconds())
-        deep = int(request.query_arguments.get("deep", [b"0"])[0])
-        if deep > 0 and not await self._call_deeper(request, deep):
+        depth_left = int(request.query_arguments.get("deep", [b"0"])[0])
+        if depth_left > 0 and not await self._call_nested(request, depth_left):
             self._respond(request, 502, b"a deeper call failed")
             return
         size = int(request.query_arguments.get("size", [b"64"])[0])
-        self._answer(request, expected_body(name, size, request.body))
+        self._respond_to_call(request, expected_body(name, size, request.body))
 
     def _service_seconds(self):
-        factor = self.troubles.slow_factor * (COLD_FACTOR if self._cold else 1.0)
+        factor = self.faults.slow_factor * (COLD_FACTOR if self._is_cold else 1.0)
         # The mean of a lognormal is exp(mu + sigma^2 / 2).
         draw = self._random.lognormvariate(-self._sigma**2 / 2, self._sigma)
-        return self._mean * draw * factor
+        return self._mean_seconds * draw * factor
 
-    async def _call_deeper(self, request, deep):
-        path = _next_path(request.path)
-        headers = {n: request.headers[n] for n in _PASSED_ON if n in request.headers}
-        headers[LEDGER_ID] = f"{request.headers.get(LEDGER_ID, '')}/{deep}"
+    async def _call_nested(self, request, depth_left):
+        path = _next_chain_path(request.path)
+        headers = {n: request.headers[n] for n in _FORWARDED_HEADERS if n in request.headers}
+        headers[LEDGER_ID] = f"{request.headers.get(LEDGER_ID, '')}/{depth_left}"
         left = int(request.headers.get(TIME_LEFT, "5000"))
         headers[TIME_LEFT] = str(left)
-        url = f"http://{self._node}{path}?deep={deep - 1}"
-        client = AsyncHTTPClient(max_clients=MAX_DEEPER)
+        url = f"http://{self._node}{path}?deep={depth_left - 1}"
+        client = AsyncHTTPClient(max_clients=MAX_NESTED_CALLS)
         try:
             await client.fetch(url, headers=headers, request_timeout=max(0.001, left / 1000))
         except (HTTPError, OSError):
             return False
         return True
 
-    def _answer(self, request, body):
-        if self.troubles.die_after_run:
+    def _respond_to_call(self, request, body):
+        if self.faults.die_after_run:
             request.connection.stream.close()
-        elif self.troubles.die_mid_answer:
+        elif self.faults.die_mid_answer:
             start = ResponseStartLine("", 200, "OK")
             headers = HTTPHeaders({"Content-Length": str(len(body))})
             request.connection.write_headers(start, headers, body[: len(body) // 2])
--- a/caperstack/standin/configuration.py
+++ b/caperstack/standin/configuration.py
@@ -21,7 +21,7 @@
     def initialize(self, service):
         self.service = service
 
-    def counted(self):
+    def accept_call(self):
         """Count a call; answer 503 and return false during an outage."""
         self.service.calls += 1
         if self.service.outage:
@@ -33,13 +33,13 @@
 
 class _Index(_Handler):
     def get(self):
-        if self.counted():
+        if self.accept_call():
             self.write(self.service.index())
 
 
 class _Subtree(_Handler):
     def get(self, path):
-        if not self.counted():
+        if not self.accept_call():
             return
         entry = self.service.visible.get(path.strip("/"))
         if entry is None:
@@ -58,10 +58,10 @@
 
 class _Watch(_Handler):
     async def get(self):
-        if not self.counted():
+        if not self.accept_call():
             return
         after = int(self.get_query_argument("after"))
-        await self.service.wait_beyond(after, WATCH_SECONDS)
+        await self.service.wait_for_newer(after, WATCH_SECONDS)
         if not self.service.outage:
             self.write(self.service.index())
         else:
@@ -80,7 +80,7 @@
         self.write({"outage": service.outage, "lag_seconds": service.lag_seconds})
 
 
-class _Count(_Handler):
+class _CallCount(_Handler):
     def get(self):
         self.write({"calls": self.service.calls})
 
@@ -110,7 +110,7 @@
                 ("/v1/subtrees/(.*)", _Subtree, arguments),
                 ("/v1/watch", _Watch, arguments),
                 ("/control", _Control, arguments),
-                ("/calls", _Count, arguments),
+                ("/calls", _CallCount, arguments),
             ],
             log_function=lambda handler: None,
         )
@@ -127,7 +127,7 @@
         self._revision += 1
         self._entries[path] = _Entry(self._revision, value)
         entry = self._entries[path]
-        asyncio.get_running_loop().call_later(self.lag_seconds, self._show, path, entry)
+        asyncio.get_running_loop().call_later(self.lag_seconds, self._make_visible, path, entry)
         return self._revision
 
     def freeze(self, frozen):
@@ -135,7 +135,7 @@
         self._frozen = frozen
         self.visible = self._previous if frozen else dict(self._entries)
 
-    def _show(self, path, entry):
+    def _make_visible(self, path, entry):
         if not self._frozen:
             self._previous = dict(self.visible)
             self.visible[path] = entry
@@ -146,7 +146,7 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def wait_beyond(self, after, seconds):
+    async def wait_for_newer(self, after, seconds):
         """Wait until the visible revision exceeds `after`, an outage, or the time is up."""
         try:
             async with asyncio.timeout(seconds):
--- a/caperstack/standin/main.py
+++ b/caperstack/standin/main.py
@@ -37,14 +37,14 @@
     return parser
 
 
-def _load(path):
+def _read_json(path):
     if path is None:
         return None
     with open(path, encoding="utf-8") as file:
         return json.load(file)
 
 
-async def _make(options):
+async def _create_service(options):
     if options.kind == "backend":
         return StandinBackend(
             options.port,
@@ -55,16 +55,16 @@
             options.seed,
         )
     if options.kind == "hosts":
-        listed = _load(options.hosts) or {"hosts": []}
+        listed = _read_json(options.hosts) or {"hosts": []}
         return StandinHostList(options.port, listed["hosts"])
     service = StandinConfiguration(options.port)
-    for path, value in (_load(options.subtrees) or {}).items():
+    for path, value in (_read_json(options.subtrees) or {}).items():
         service.change(path, value)
     return service
 
 
 async def _serve(options):
-    service = await _make(options)
+    service = await _create_service(options)
     await service.start()
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
