--- a/caperstack/standin/__init__.py
+++ b/caperstack/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the systems that caperstack serves and reads."""
+"""Stand-ins for the systems around caperstack: backend servers and platform services."""
--- a/caperstack/standin/backend.py
+++ b/caperstack/standin/backend.py
@@ -1,4 +1,4 @@
-"""A stand-in backend server: slots, service times, troubles on command, and a ledger."""
+"""A stand-in backend server with slots, service times, injected faults and a ledger of calls."""
 
 import asyncio
 import hashlib
@@ -16,43 +16,50 @@
 
 __all__ = ["LEDGER_ID", "BackendFaults", "StandinBackend", "expected_body"]
 
-#: Names a call in the ledger; the load tool makes one up for each call.
+#: Header with the name of a call in the ledger; the load tool sets one for each call.
 LEDGER_ID = "Ledger-Id"
 
+#: Factor by which service times are longer while the server is cold.
 COLD_FACTOR = 3.0
+
 MAX_BODY_BYTES = 128 * 1024 * 1024
 
-#: Calls to other services at once; tornado's own bound is below the slots.
+#: Maximum number of concurrent calls to other services. The default of tornado is lower
+#: than the number of slots.
 MAX_NESTED_CALLS = 10_000
+
+#: Headers that a nested call takes over from the call that makes it.
 _FORWARDED_HEADERS = (TRACEPARENT, REQUEST_ID, DEPTH)
 
 
 @dataclass
 class BackendFaults:
-    """What ails the server; set by ``POST /control`` with any of these names.
+    """Faults and states of the server, set by ``POST /control`` with any of these names.
 
     Attributes
     ----------
     slow_factor : float
-        Service times are multiplied by it.
+        Factor by which service times are multiplied.
     fail_status : int
-        Answered at once to every call, if not 0.
+        HTTP status with which every call is answered at once; 0 for none.
     draining : bool
-        Health says so; calls that come all the same are served and counted.
+        The health endpoint reports that the server drains. Calls that arrive nevertheless
+        are served, and counted if they start more than 2 s later.
     shed_above : int
-        Waiting calls beyond which new ones are refused with 503; 0 for never.
+        Number of waiting calls from which new ones are refused with 503; 0 for never.
     lie_in_flight : int
-        The load endpoint's figure; -1 for the truth.
+        Value that the load endpoint reports; -1 for the real number of calls.
     load_lag_seconds : float
-        How old the load endpoint's figure is.
+        Age of the value that the load endpoint reports, in seconds.
     cold_seconds : float
-        For so long after its start the server is slow and says it is cold.
+        Time after its start during which the server is slow and reports that it is cold,
+        in seconds. Setting it restarts that time.
     die_mid_answer : bool
-        Send half of each answer, then close the connection.
+        Whether to send half of each answer and then close the connection.
     die_after_run : bool
-        Run each call, then close the connection without a byte.
+        Whether to run each call and then close the connection without an answer.
     mute : bool
-        The health and load endpoints fail.
+        Whether the health and load endpoints fail.
     """
 
     slow_factor: float = 1.0
@@ -68,7 +75,17 @@
 
 
 def expected_body(ledger_id, size, request_body=b""):
-    """Return the answer's body: the call's name, a digest of its body, and filler."""
+    """Return the body of an answer: the call's name, a digest of its body, and filler.
+
+    Parameters
+    ----------
+    ledger_id : str
+        Name of the call.
+    size : int
+        Length of the filler in bytes.
+    request_body : bytes
+        Body of the request.
+    """
     digest = hashlib.blake2b(request_body, digest_size=16).hexdigest()
     head = f"{ledger_id} {digest}\n".encode()
     filler = hashlib.blake2b(head, digest_size=32).hexdigest().encode()
@@ -76,7 +93,7 @@
 
 
 def _next_chain_path(path):
-    """Return where a call of a chain goes on: from ``/l3`` to ``/l4``, else the same path."""
+    """Return the path of the nested call: ``/l4`` after ``/l3``, otherwise the same path."""
     level = path.removeprefix("/l")
     return f"/l{int(level) + 1}" if level.isdigit() else path
 
@@ -87,15 +104,21 @@
     Parameters
     ----------
     port : int
-        Where it listens, on loopback.
+        Port on loopback at which it listens.
     slots : int
-        Calls that run at once; more wait inside.
+        Maximum number of concurrent calls; further calls wait in the server.
     mean_seconds, sigma : float
-        Mean and shape of the lognormal service time; no wait if the mean is 0.
+        Mean and shape parameter of the lognormal service time. With a mean of 0, calls
+        take no time.
     node : str
-        Address of the node beside it, for calls to other services.
+        Address of the node beside it, to which nested calls go.
     seed : int
-        Of the service times.
+        Seed of the service times.
+
+    Attributes
+    ----------
+    faults : BackendFaults
+        The current faults.
     """
 
     def __init__(self, port, slots=20, mean_seconds=0.0, sigma=1.0, node="", seed=0):
@@ -119,7 +142,7 @@
         self.faults = BackendFaults()
 
     async def start(self):
-        """Listen."""
+        """Start to listen."""
         self._server = HTTPServer(
             self._start_handling,
             max_body_size=MAX_BODY_BYTES,
@@ -135,14 +158,14 @@
         request.connection.set_close_callback(task.cancel)
 
     async def _handle(self, request):
-        special = {
+        endpoint = {
             "/health": self._health,
             "/load": self._load,
             "/ledger": self._show_ledger,
             "/control": self._control,
         }.get(request.path)
-        if special is not None:
-            status, document = special(request)
+        if endpoint is not None:
+            status, document = endpoint(request)
             self._respond(request, status, json.dumps(document).encode())
             return
         await self._serve(request)
@@ -166,10 +189,10 @@
             return 500, {}
         if self.faults.lie_in_flight >= 0:
             return 200, {"in_flight": self.faults.lie_in_flight}
-        moment = time.time()
-        self._load_history.append((moment, self._running + self._waiting))
-        wanted = moment - self.faults.load_lag_seconds
-        older = [entry for entry in self._load_history if entry[0] <= wanted]
+        current = time.time()
+        self._load_history.append((current, self._running + self._waiting))
+        reported_at = current - self.faults.load_lag_seconds
+        older = [entry for entry in self._load_history if entry[0] <= reported_at]
         self._load_history = self._load_history[-100:]
         return 200, {"in_flight": (older or self._load_history)[-1][1]}
 
@@ -235,7 +258,7 @@
 
     def _service_seconds(self):
         factor = self.faults.slow_factor * (COLD_FACTOR if self._is_cold else 1.0)
-        # The mean of a lognormal is exp(mu + sigma^2 / 2).
+        # A lognormal distribution has the mean exp(mu + sigma^2 / 2), here 1.
         draw = self._random.lognormvariate(-self._sigma**2 / 2, self._sigma)
         return self._mean_seconds * draw * factor
 
@@ -243,12 +266,12 @@
         path = _next_chain_path(request.path)
         headers = {n: request.headers[n] for n in _FORWARDED_HEADERS if n in request.headers}
         headers[LEDGER_ID] = f"{request.headers.get(LEDGER_ID, '')}/{depth_left}"
-        left = int(request.headers.get(TIME_LEFT, "5000"))
-        headers[TIME_LEFT] = str(left)
+        left_ms = int(request.headers.get(TIME_LEFT, "5000"))
+        headers[TIME_LEFT] = str(left_ms)
         url = f"http://{self._node}{path}?deep={depth_left - 1}"
         client = AsyncHTTPClient(max_clients=MAX_NESTED_CALLS)
         try:
-            await client.fetch(url, headers=headers, request_timeout=max(0.001, left / 1000))
+            await client.fetch(url, headers=headers, request_timeout=max(0.001, left_ms / 1000))
         except (HTTPError, OSError):
             return False
         return True
--- a/caperstack/standin/configuration.py
+++ b/caperstack/standin/configuration.py
@@ -1,4 +1,4 @@
-"""A stand-in configuration service: read and watched by nodes, changed by operators only."""
+"""A stand-in configuration service, which nodes read and watch and operators change."""
 
 import asyncio
 import json
@@ -8,6 +8,7 @@
 
 __all__ = ["StandinConfiguration"]
 
+#: Time after which a long-poll watch is answered without a change, in seconds.
 WATCH_SECONDS = 30.0
 
 
@@ -22,7 +23,7 @@
         self.service = service
 
     def accept_call(self):
-        """Count a call; answer 503 and return false during an outage."""
+        """Count a call and return whether to serve it; during an outage, answer it with 503."""
         self.service.calls += 1
         if self.service.outage:
             self.set_status(503)
@@ -86,7 +87,24 @@
 
 
 class StandinConfiguration:
-    """Subtrees with revisions, a count of calls, and outage, lag and staleness on command."""
+    """Subtrees with revisions, a count of calls, and simulated outage, lag and staleness.
+
+    Parameters
+    ----------
+    port : int
+        Port on loopback at which it listens.
+
+    Attributes
+    ----------
+    visible : dict
+        The entries that readers get, by path; changes appear after the lag.
+    calls : int
+        Number of reads and watches.
+    outage : bool
+        Whether all reads and watches are answered with 503.
+    lag_seconds : float
+        Time after which a change becomes visible, in seconds.
+    """
 
     def __init__(self, port):
         self._port = port
@@ -102,7 +120,7 @@
         self.lag_seconds = 0.0
 
     async def start(self):
-        """Listen."""
+        """Start to listen."""
         arguments = {"service": self}
         application = Application(
             [
@@ -118,12 +136,12 @@
         self._server.listen(self._port, "127.0.0.1", backlog=1024)
 
     def index(self):
-        """Return the revision and that of each visible subtree."""
+        """Return the highest visible revision and the revision of each visible subtree."""
         revisions = {path: entry.revision for path, entry in self.visible.items()}
         return {"revision": max(revisions.values(), default=0), "subtrees": revisions}
 
     def change(self, path, value):
-        """Set a subtree, or delete it with ``None``; return the new revision."""
+        """Set a subtree to `value`, or delete it if that is ``None``; return the new revision."""
         self._revision += 1
         self._entries[path] = _Entry(self._revision, value)
         entry = self._entries[path]
@@ -131,7 +149,7 @@
         return self._revision
 
     def freeze(self, frozen):
-        """Serve what was visible before the last change, as a stale replica does."""
+        """Serve the state before the last change, like a stale replica, or the newest state."""
         self._frozen = frozen
         self.visible = self._previous if frozen else dict(self._entries)
 
@@ -142,12 +160,12 @@
             self.wake()
 
     def wake(self):
-        """Wake all watches."""
+        """Wake all waiting watches."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def wait_for_newer(self, after, seconds):
-        """Wait until the visible revision exceeds `after`, an outage, or the time is up."""
+        """Wait until the visible revision exceeds `after`, an outage begins, or `seconds` pass."""
         try:
             async with asyncio.timeout(seconds):
                 while self.index()["revision"] <= after and not self.outage:
--- a/caperstack/standin/hosts.py
+++ b/caperstack/standin/hosts.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's lagging list of live and leaving hosts."""
+"""A stand-in for the platform's list of live and draining hosts, which lags behind."""
 
 import asyncio
 import json
@@ -31,7 +31,26 @@
 
 
 class StandinHostList:
-    """A list of hosts that shows its changes late."""
+    """A list of hosts whose changes become visible after a lag.
+
+    Parameters
+    ----------
+    port : int
+        Port on loopback at which it listens.
+    hosts : iterable of dict
+        The initial entries.
+
+    Attributes
+    ----------
+    visible : dict
+        The entries that readers get, by host.
+    calls : int
+        Number of reads.
+    outage : bool
+        Whether reads are answered with 503.
+    lag_seconds : float
+        Time after which a change becomes visible, in seconds.
+    """
 
     def __init__(self, port, hosts=()):
         self._port = port
@@ -42,7 +61,7 @@
         self.lag_seconds = 0.0
 
     async def start(self):
-        """Listen."""
+        """Start to listen."""
         application = Application(
             [("/hosts", _Hosts, {"service": self})], log_function=lambda handler: None
         )
@@ -50,7 +69,7 @@
         self._server.listen(self._port, "127.0.0.1", backlog=1024)
 
     def change(self, hosts):
-        """Replace the list, visible after the lag."""
+        """Replace the list with `hosts`, a dict of entries by host, after the lag."""
         asyncio.get_running_loop().call_later(
             self.lag_seconds, lambda: setattr(self, "visible", hosts)
         )
--- a/caperstack/standin/main.py
+++ b/caperstack/standin/main.py
@@ -1,4 +1,4 @@
-"""caperstack-standin: stand-ins of the systems that caperstack serves and reads."""
+"""Command line of caperstack-standin, which runs a stand-in for a system around caperstack."""
 
 import argparse
 import asyncio
@@ -23,17 +23,23 @@
     kinds = parser.add_subparsers(dest="kind", required=True)
     backend = kinds.add_parser("backend", help="a backend server")
     backend.add_argument("--port", type=int, required=True)
-    backend.add_argument("--slots", type=int, default=20, help="calls at once")
-    backend.add_argument("--mean-ms", type=float, default=0.0, help="mean service time")
-    backend.add_argument("--sigma", type=float, default=1.0, help="shape of the service time")
-    backend.add_argument("--node", default="", help="address of the node beside it")
+    backend.add_argument("--slots", type=int, default=20, help="maximum number of concurrent calls")
+    backend.add_argument(
+        "--mean-ms", type=float, default=0.0, help="mean service time in milliseconds"
+    )
+    backend.add_argument(
+        "--sigma", type=float, default=1.0, help="shape parameter of the lognormal service time"
+    )
+    backend.add_argument(
+        "--node", default="", help="address of the node beside it, for nested calls"
+    )
     backend.add_argument("--seed", type=int, default=0)
     configuration = kinds.add_parser("configuration", help="the configuration service")
     configuration.add_argument("--port", type=int, required=True)
-    configuration.add_argument("--subtrees", help="JSON file of subtrees to begin with")
+    configuration.add_argument("--subtrees", help="JSON file with the initial subtrees")
     hosts = kinds.add_parser("hosts", help="the host list")
     hosts.add_argument("--port", type=int, required=True)
-    hosts.add_argument("--hosts", help="JSON file with the list to begin with")
+    hosts.add_argument("--hosts", help="JSON file with the initial list")
     return parser
 
 
