--- a/caperstack/play/fleet.py
+++ b/caperstack/play/fleet.py
@@ -57,12 +57,12 @@
         counts = Counter() if counts is None else counts
         self._options = _Options(scenario, policy, rng, allowance, log, counts)
         self.hosts = [
-            self._host(f"{service.name}-{number}", number, service)
+            self._create_host(f"{service.name}-{number}", number, service)
             for service in scenario.services
             for number in range(service.servers)
         ]
 
-    def _host(self, name, number, service):
+    def _create_host(self, name, number, service):
         host = None
 
         async def call_nested(kind, call):
--- a/caperstack/play/main.py
+++ b/caperstack/play/main.py
@@ -57,7 +57,7 @@
     return parser
 
 
-def _run_plays(scenario, policies, seeds, jobs):
+def _run_simulations(scenario, policies, seeds, jobs):
     """Yield each policy with the results of all its simulations, run `jobs` at a time."""
     runs = [
         (scenario.model_copy(update={"seed": seed}), policy)
@@ -105,7 +105,7 @@
     figures_by_policy = {}
     print(_heading())
     policies = options.policy or list(POLICIES)
-    for policy, results in _run_plays(scenario, policies, options.seeds, options.jobs):
+    for policy, results in _run_simulations(scenario, policies, options.seeds, options.jobs):
         figures_by_policy[policy] = figures_of(results)
         print(_row(policy, figures_by_policy[policy]), flush=True)
         for kind in scenario.kinds if options.kinds else ():
--- a/caperstack/play/server.py
+++ b/caperstack/play/server.py
@@ -121,7 +121,7 @@
         if self.is_down:
             raise BackendError("no connection", step="connect", sent=False)
         self._count_start()
-        if self._fault_strikes("shed"):
+        if self._fault_applies("shed"):
             return NotRun("server sheds", REFUSED_SECONDS, offered=True)
         kind = self._kind_of(call)
         try:
@@ -158,7 +158,7 @@
         self.is_down = False
         self.restart()
 
-    def _fault_strikes(self, what):
+    def _fault_applies(self, what):
         """Return whether a current fault of the kind `what` affects this call."""
         fault = self.fault
         return fault is not None and fault.what == what and self._rng.random() < fault.share
@@ -191,7 +191,7 @@
             if not await self._call_nested(kind, call):
                 return Answered(500, "Internal Server Error", [], b"")
             await asyncio.sleep(seconds / 2)
-        if self._fault_strikes("fail"):
+        if self._fault_applies("fail"):
             return Answered(500, "Internal Server Error", [], b"")
         if time_left(call.deadline) <= 0:
             return Answered(504, "Gateway Timeout", [], b"")
