--- a/caperstack/play/hosts.py
+++ b/caperstack/play/hosts.py
@@ -71,7 +71,7 @@
     ----------
     owner : caperstack.admission.owner.Owner
         The owner.
-    member : object
+    member : caperstack.membership.members.Member
         The entry's member for the owner's host; its load estimate is updated.
     seconds : float
         One-way latency in seconds.
@@ -216,7 +216,7 @@
             self.owner.tell_listeners()
 
     async def dispatch(self, kind, name, deadline, objective_at):
-        """Dispatch one request that a caller sends to this host.
+        """Dispatch one request, or one nested call, for which this host is the entry.
 
         Parameters
         ----------
--- a/caperstack/play/policies.py
+++ b/caperstack/play/policies.py
@@ -28,7 +28,7 @@
     return 0.0
 
 
-def _initial_limit(knee):
+def _limit_without_trials(knee):
     return knee.limit
 
 
@@ -73,11 +73,11 @@
     "slots rounded up": ("load_aware", {f"{_GATE}.ROUNDING": 1.0}),
     "limit is not learnt": (
         "load_aware",
-        {"caperstack.admission.knee.Knee.allowed": _initial_limit},
+        {"caperstack.admission.knee.Knee.allowed": _limit_without_trials},
     ),
     "slots rounded up, not learnt": (
         "load_aware",
-        {f"{_GATE}.ROUNDING": 1.0, "caperstack.admission.knee.Knee.allowed": _initial_limit},
+        {f"{_GATE}.ROUNDING": 1.0, "caperstack.admission.knee.Knee.allowed": _limit_without_trials},
     ),
     "cold servers get any number": (
         "load_aware",
--- a/caperstack/play/server.py
+++ b/caperstack/play/server.py
@@ -137,15 +137,15 @@
 
     def _count_start(self):
         """Count the start of a call; crash if the cold server got too many in a second."""
-        bears = self._service.cold_bears
+        max_starts = self._service.cold_bears
         moment = now()
-        if not bears or moment >= self._cold_until:
+        if not max_starts or moment >= self._cold_until:
             return
         self._starts.append(moment)
         since = max(self._cold_since, moment - 1.0)
         while self._starts[0] < since:
             self._starts.popleft()
-        if len(self._starts) > bears:
+        if len(self._starts) > max_starts:
             self._crash()
             raise BackendError("connection closed", step="backend", unheard=True)
 
