--- a/caperstack/play/hosts.py
+++ b/caperstack/play/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts of a play: the real entry, owner and probe, joined without a network."""
+"""Hosts of a simulation: the real entry, owner and health probe, connected without a network."""
 
 import asyncio
 import copy
@@ -20,50 +20,64 @@
 
 __all__ = ["PlayHost"]
 
-#: One way between hosts of a zone, in seconds.
-NEAR_SECONDS = 0.0002
+#: One-way latency between hosts of one zone, in seconds.
+ZONE_LATENCY_SECONDS = 0.0002
 
-#: Addresses are never used, and all hosts are of one region.
-NOWHERE = "127.0.0.1:1"
+#: Address of every host; nothing connects to it.
+UNUSED_ADDRESS = "127.0.0.1:1"
+
+#: Region of all hosts.
 REGION = "r"
 
-#: How often an owner's crowding is told, in seconds.
-TELL_SECONDS = 0.3
+#: Interval at which an owner checks whether to send its load to entries, in seconds.
+LOAD_UPDATE_SECONDS = 0.3
 
 
-class _NoPauses:
-    """Nothing is ever suspended in a play."""
+class _NoPauseDetector:
+    """Stands in for the detector of process pauses; a simulation has none."""
 
     async def start(self, kernel):
-        """Nothing to start."""
+        """Do nothing."""
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing."""
 
     def recently_paused(self):
-        """Never."""
+        """Return false: the process never paused."""
         return False
 
 
-class _OneSetting:
-    """The same settings for every service."""
+class _FixedSettings:
+    """Stands in for the settings; they are the same for every service."""
 
     def __init__(self, policy):
         self._service = EffectiveService(policy=policy)
 
     async def start(self, kernel):
-        """Nothing to start."""
+        """Do nothing."""
 
     async def stop(self):
-        """Nothing to stop."""
+        """Do nothing."""
 
     def service(self, _name):
-        """Return the `EffectiveService`."""
+        """Return the `EffectiveService` that applies to every service."""
         return self._service
 
 
-class _FarOwner:
-    """The way to the owner of another host, with the time it takes."""
+class _RemoteOwner:
+    """The owner on another host, reached after the network latency.
+
+    Parameters
+    ----------
+    owner : caperstack.admission.owner.Owner
+        The owner.
+    member : caperstack.membership.members.Member
+        The entry's member for the owner's host; its load estimate is updated.
+    seconds : float
+        One-way latency in seconds.
+    counts : collections.Counter
+        Counts the messages by kind.
+    """
 
     usable = True
 
@@ -73,14 +87,16 @@
         self._seconds = seconds
         self._counts = counts
         self._interest = LoadInterest()
-        owner.listen(self._tell_changed)
+        owner.listen(self._send_changed_load)
 
     async def run(self, call):
-        """Return the outcome of `call`, with the way there and back."""
-        self._counts["calls in the zone" if self._seconds == NEAR_SECONDS else "calls out"] += 1
+        """Return the outcome of `call` after the latency of both directions."""
+        self._counts[
+            "calls in the zone" if self._seconds == ZONE_LATENCY_SECONDS else "calls out"
+        ] += 1
         self._interest.record_call()
         await asyncio.sleep(self._seconds)
-        outcome = await self._owner.run(copy.copy(call), self._tell_later)
+        outcome = await self._owner.run(copy.copy(call), self._send_load)
         load = self._owner.load
         self._interest.record_load(load)
         await asyncio.sleep(self._seconds)
@@ -88,16 +104,16 @@
         return outcome
 
     def freshen(self, _estimate):
-        """Nothing: the load is known as it was last told."""
+        """Do nothing: the entry keeps the load that it got last."""
 
     def touch(self):
-        """Nothing to open."""
+        """Do nothing: there is no connection to open."""
 
-    def _tell_changed(self):
+    def _send_changed_load(self):
         if self._interest.wants_update(self._owner.load):
-            self._tell_later()
+            self._send_load()
 
-    def _tell_later(self):
+    def _send_load(self):
         self._counts["loads told"] += 1
         load = self._owner.load
         self._interest.record_load(load)
@@ -107,7 +123,22 @@
 
 
 class PlayHost:
-    """One host: a node's decisions beside a modelled backend server."""
+    """One host: the decisions of a real node beside a modelled backend server.
+
+    Parameters
+    ----------
+    name : str
+        Name of the host.
+    zone : str
+        Its availability zone.
+    service : caperstack.play.scenario.Service
+        Service of its backend server.
+    server : caperstack.play.server.ModelServer
+        The backend server.
+    options : object
+        The scenario, routing policy, random generator, retry allowance, log and counter
+        that all hosts share.
+    """
 
     def __init__(self, name, zone, service, server, options):
         self.name = name
@@ -119,17 +150,21 @@
         self.kernel = None
 
     async def start(self):
-        """Start the node with no memory."""
+        """Start the node without any state."""
         scenario = self._options.scenario
-        backend = Backend(NOWHERE, self.service.name, self.service.slots, scenario.slots_share, 1)
-        here = NodeSettings(self.name, self.zone, REGION, NOWHERE, NOWHERE, NOWHERE, backend)
+        backend = Backend(
+            UNUSED_ADDRESS, self.service.name, self.service.slots, scenario.slots_share, 1
+        )
+        here = NodeSettings(
+            self.name, self.zone, REGION, UNUSED_ADDRESS, UNUSED_ADDRESS, UNUSED_ADDRESS, backend
+        )
         self.kernel = kernel = Kernel()
         allowance = self._options.allowance
         rng = self._options.rng
         kernel.register("metrics", Metrics(self.name))
         kernel.register("events", EventRing(self.name, self._options.log, 1))
-        kernel.register("pauses", _NoPauses())
-        kernel.register("settings", _OneSetting(self._options.policy))
+        kernel.register("pauses", _NoPauseDetector())
+        kernel.register("settings", _FixedSettings(self._options.policy))
         kernel.register("members", Members(here))
         kernel.register("backend client", self.server)
         kernel.register("suspects", Suspects())
@@ -139,46 +174,64 @@
         kernel.register("dispatcher", Dispatcher(here, rng, allowance))
         await kernel.start()
         self.owner.set_cold_limit(self.service.cold_bears, self.service.cold_seconds)
-        self._tasks = [asyncio.create_task(self.server.visits()), asyncio.create_task(self._tell())]
+        self._tasks = [
+            asyncio.create_task(self.server.run_neighbour()),
+            asyncio.create_task(self._send_load_updates()),
+        ]
 
     async def stop(self):
-        """Stop the node as a kill does."""
+        """Stop the node at once, as if it was killed."""
         for task in self._tasks:
             task.cancel()
         await self.kernel.stop()
 
     @property
     def owner(self):
-        """The owner beside the server."""
+        """The owner beside the backend server."""
         return self.kernel.find("owner")
 
-    def join(self, hosts, zone_seconds):
-        """Know `hosts` and the ways to them."""
+    def connect(self, hosts, zone_seconds):
+        """Make `hosts` the members of this node and set the latency to each."""
         members = self.kernel.find("members")
         members.apply_host_list(
-            HostEntry(h.name, h.zone, REGION, h.service.name, NOWHERE) for h in hosts
+            HostEntry(h.name, h.zone, REGION, h.service.name, UNUSED_ADDRESS) for h in hosts
         )
         for host in hosts:
             member = members.find(host.name)
             if host is self:
                 member.owner = LocalOwner(self.owner)
                 continue
-            way = NEAR_SECONDS if host.zone == self.zone else zone_seconds
-            member.owner = _FarOwner(host.owner, member, way, self._options.counts)
+            latency_seconds = ZONE_LATENCY_SECONDS if host.zone == self.zone else zone_seconds
+            member.owner = _RemoteOwner(host.owner, member, latency_seconds, self._options.counts)
 
     def evacuate(self, zones):
-        """No new calls go to `zones` from now on."""
+        """Send no new calls to `zones`."""
         self.kernel.find("members").evacuated = zones
         self.owner.set_evacuated(self.zone in zones)
 
-    async def _tell(self):
-        # Stands in for the pushes of a changed crowding.
+    async def _send_load_updates(self):
+        # Stands in for the load updates that an owner sends when its occupancy changes.
         while True:
-            await asyncio.sleep(TELL_SECONDS)
+            await asyncio.sleep(LOAD_UPDATE_SECONDS)
             self.owner.notify_listeners()
 
     async def dispatch(self, kind, name, deadline, objective_at):
-        """Return the outcome of one request that begins here."""
+        """Dispatch one request, or one nested call, for which this host is the entry.
+
+        Parameters
+        ----------
+        kind : caperstack.play.scenario.Kind
+            The kind of call.
+        name : str
+            Request id.
+        deadline, objective_at : float
+            Times of the deadline and of the latency objective.
+
+        Returns
+        -------
+        object
+            The outcome.
+        """
         call = Call(
             id=0,
             origin=self.name,
@@ -195,7 +248,7 @@
             attempts=kind.attempts,
         )
         call.objective_at = min(call.deadline, objective_at)
-        begun = now()
+        started = now()
         outcome = await self.kernel.find("dispatcher").dispatch(call)
-        self.kernel.find("events").call("entry", call, outcome, begun)
+        self.kernel.find("events").call("entry", call, outcome, started)
         return outcome
--- a/caperstack/play/play.py
+++ b/caperstack/play/play.py
@@ -1,4 +1,4 @@
-"""Play a scenario under a policy and sum up what callers got."""
+"""Simulate a scenario under a policy and summarise the results of callers."""
 
 import asyncio
 import random
@@ -11,20 +11,29 @@
 
 __all__ = ["Figures", "play", "figures_of"]
 
-#: The span of the worst time that is shown, in seconds.
+#: Length of the windows of which the worst is reported, in seconds.
 WINDOW_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What the callers of one kind, or all, got; shares from 0 to 1.
+    """Summary of the requests of one kind, or of all; shares are from 0 to 1.
 
     Attributes
     ----------
+    asked : int
+        Number of requests.
+    in_time, late, refused, failed : float
+        Share of requests that succeeded within the objective, succeeded later, were
+        refused, or failed.
     credit : float
-        Worth earned of the worth asked for.
+        Worth earned by successful requests, as a share of the worth of all requests.
     worst : float
-        The same over the worst two seconds.
+        The credit of the worst window of two seconds.
+    p50_ms, p99_ms : float
+        Percentiles of the latency of successful requests, in milliseconds.
+    tries : float
+        Mean number of attempts of a request.
     """
 
     asked: int
@@ -40,60 +49,65 @@
 
 
 def play(scenario, policy="shipped", log=None, counts=None):
-    """Return the list of `caperstack.play.callers.Ended` of a scenario under a policy.
+    """Simulate a scenario under a policy.
 
     Parameters
     ----------
     scenario : caperstack.play.scenario.Scenario
-        What is played.
+        The scenario.
     policy : str
-        One of `caperstack.play.policies.POLICIES`.
+        A key of `caperstack.play.policies.POLICIES`.
     log : caperstack.events.log.LogWriter, optional
-        Where hosts log their decisions.
+        The log to which hosts write their decisions.
     counts : collections.Counter, optional
-        Counts what hosts send each other, by kind.
+        Counts the messages between hosts by kind.
+
+    Returns
+    -------
+    list of caperstack.play.callers.RequestResult
+        The result of each request.
     """
     random.seed(scenario.seed)
     rng = random.Random(scenario.seed)
-    with policy_in_force(policy) as choice:
-        return run_virtual(lambda: _played(scenario, choice, rng, log, counts))
+    with policy_in_force(policy) as routing_policy:
+        return run_virtual(lambda: _run_scenario(scenario, routing_policy, rng, log, counts))
 
 
-async def _played(scenario, choice, rng, log, counts):
-    fleet = PlayFleet(scenario, choice, rng, log, counts)
+async def _run_scenario(scenario, routing_policy, rng, log, counts):
+    fleet = PlayFleet(scenario, routing_policy, rng, log, counts)
     await fleet.start()
     callers = Callers(scenario, fleet)
-    events = [asyncio.create_task(_happen(event, fleet, callers)) for event in scenario.events]
+    events = [asyncio.create_task(_apply_event(event, fleet, callers)) for event in scenario.events]
     try:
         await callers.run()
     finally:
         for event in events:
             event.cancel()
         await fleet.stop()
-    return callers.ended
+    return callers.results
 
 
-async def _happen(event, fleet, callers):
+async def _apply_event(event, fleet, callers):
     await asyncio.sleep(event.at)
     if event.what == "burst":
         callers.factor = event.factor
         await asyncio.sleep(event.seconds)
         callers.factor = 1.0
     elif event.what == "lose":
-        await fleet.lose(event.service, event.count)
+        await fleet.remove_servers(event.service, event.count)
     elif event.what == "chill":
-        fleet.chill(event.service, event.count)
+        fleet.make_cold(event.service, event.count)
     elif event.what == "evacuate":
         await fleet.evacuate(event.zone, event.seconds)
-    elif event.of_service:
-        await fleet.ail(event)
+    elif event.affects_servers:
+        await fleet.inject_fault(event)
     else:
         await fleet.restart()
 
 
-def figures_of(ended, kind=None):
-    """Return the `Figures` of the requests in `ended`, of one kind's name if given."""
-    own = [one for one in ended if kind in (None, one.kind.name)]
+def figures_of(results, kind=None):
+    """Return the `Figures` of `results`, of all or only of the kind with the name `kind`."""
+    own = [one for one in results if kind in (None, one.kind.name)]
     count = max(1, len(own))
     times = sorted(one.seconds * 1000 for one in own if one.served) or [0.0]
     return Figures(
@@ -103,21 +117,21 @@
         refused=sum(one.code in (429, 503) for one in own) / count,
         failed=sum(not one.served and one.code not in (429, 503) for one in own) / count,
         credit=_credit(own),
-        worst=min(_windows(own), default=0.0),
+        worst=min(_window_credits(own), default=0.0),
         p50_ms=times[len(times) // 2],
         p99_ms=times[int(len(times) * 0.99)],
         tries=sum(one.tries for one in own) / count,
     )
 
 
-def _credit(ended):
-    owed = sum(one.kind.worth for one in ended)
-    return sum(one.credit for one in ended) / owed if owed else 0.0
+def _credit(results):
+    available = sum(one.kind.worth for one in results)
+    return sum(one.credit for one in results) / available if available else 0.0
 
 
-def _windows(ended):
+def _window_credits(results):
     windows = {}
-    for one in ended:
-        windows.setdefault(int(one.begun_at / WINDOW_SECONDS), []).append(one)
-    # The last window is cut off by the end of the play.
-    return [_credit(windows[place]) for place in sorted(windows)[:-1]]
+    for one in results:
+        windows.setdefault(int(one.started_at / WINDOW_SECONDS), []).append(one)
+    # The last window is incomplete since the simulation ends within it.
+    return [_credit(windows[index]) for index in sorted(windows)[:-1]]
--- a/caperstack/play/policies.py
+++ b/caperstack/play/policies.py
@@ -1,4 +1,4 @@
-"""Policies of a play: what is decided as shipped, and with one gain switched off."""
+"""Policies of a simulation: the decisions as shipped, and with single mechanisms disabled."""
 
 import contextlib
 from unittest import mock
@@ -8,36 +8,36 @@
 __all__ = ["POLICIES", "policy_in_force"]
 
 
-def _by_arrival(waiter, _moment, _short_takes):
+def _rank_by_arrival(waiter, _moment, _short_takes):
     return (waiter.sequence,) * 2
 
 
-def _until_the_deadline(_gate, call, takes):
+def _last_start_before_deadline(_gate, call, takes):
     return min(call.queue_until, call.deadline - takes)
 
 
-def _never(*_arguments):
+def _always_false(*_arguments):
     return False
 
 
-def _none_free(*_arguments):
+def _no_candidates(*_arguments):
     return []
 
 
-def _no_wait_known(*_arguments):
+def _zero_wait(*_arguments):
     return 0.0
 
 
-def _as_it_is(knee):
+def _limit_without_trials(knee):
     return knee.limit
 
 
-def _no_step(_limit):
-    """The limit stays as it is."""
+def _keep_limit(_limit):
+    """Leave the limit unchanged."""
 
 
-def _any_number(_limit, _per_second, _cold_seconds=0.0):
-    """The limit stays off."""
+def _keep_unlimited(_limit, _per_second, _cold_seconds=0.0):
+    """Leave the number of starts at a cold server unlimited."""
 
 
 _QUEUE = "caperstack.admission.queue"
@@ -47,36 +47,46 @@
 _DISPATCH = "caperstack.routing.dispatch.Dispatcher"
 _ESTIMATES = "caperstack.routing.estimates"
 
-#: For each policy how entries choose, and what it changes.
+#: For each policy the routing policy of entries, and the patches: the dotted name of each
+#: replaced attribute and its replacement.
 POLICIES = {
     "shipped": ("load_aware", {}),
     "random entry": ("random", {}),
     "two choices": ("power_of_two", {}),
-    "first come first served": ("load_aware", {f"{_QUEUE}.Waiter.rank": _by_arrival}),
-    "late calls wait": ("load_aware", {f"{_GATE}.SlotGate._last_start": _until_the_deadline}),
+    "first come first served": ("load_aware", {f"{_QUEUE}.Waiter.rank": _rank_by_arrival}),
+    "late calls wait": (
+        "load_aware",
+        {f"{_GATE}.SlotGate._last_start": _last_start_before_deadline},
+    ),
     "plain queue": (
         "load_aware",
         {
-            f"{_QUEUE}.Waiter.rank": _by_arrival,
-            f"{_GATE}.SlotGate._last_start": _until_the_deadline,
+            f"{_QUEUE}.Waiter.rank": _rank_by_arrival,
+            f"{_GATE}.SlotGate._last_start": _last_start_before_deadline,
         },
     ),
     "short calls wait": ("load_aware", {f"{_GATE}.SHORT_CALL_SHARE": 0.0}),
     "all wait, none is refused": (
         "load_aware",
-        {f"{_GATE}.SlotGate._expected_wait": _no_wait_known},
+        {f"{_GATE}.SlotGate._expected_wait": _zero_wait},
     ),
     "slots rounded up": ("load_aware", {f"{_GATE}.ROUNDING_TOLERANCE": 1.0}),
-    "limit is not learnt": ("load_aware", {"caperstack.admission.knee.Knee.allowed": _as_it_is}),
+    "limit is not learnt": (
+        "load_aware",
+        {"caperstack.admission.knee.Knee.allowed": _limit_without_trials},
+    ),
     "slots rounded up, not learnt": (
         "load_aware",
-        {f"{_GATE}.ROUNDING_TOLERANCE": 1.0, "caperstack.admission.knee.Knee.allowed": _as_it_is},
+        {
+            f"{_GATE}.ROUNDING_TOLERANCE": 1.0,
+            "caperstack.admission.knee.Knee.allowed": _limit_without_trials,
+        },
     ),
     "cold servers get any number": (
         "load_aware",
-        {"caperstack.admission.cold.ColdLimit.resize": _any_number},
+        {"caperstack.admission.cold.ColdLimit.resize": _keep_unlimited},
     ),
-    "limit does not adapt": ("load_aware", {f"{_LIMIT}.AdaptiveLimit.adjust": _no_step}),
+    "limit does not adapt": ("load_aware", {f"{_LIMIT}.AdaptiveLimit.adjust": _keep_limit}),
     "slow servers are not doubted": ("load_aware", {f"{_LIMIT}.PROBE_THRESHOLD": 1e9}),
     "failing servers are not gated": ("load_aware", {f"{_LIMIT}.OPEN_FAILURE_SHARE": 2.0}),
     "nobody is ejected": ("load_aware", {f"{_ESTIMATES}.EJECTION_FAILURE_SHARE": 2.0}),
@@ -86,14 +96,14 @@
         "load_aware",
         {f"{_PACE}.SLOWED_PACE": 1e9, f"{_ESTIMATES}.SLOWED_PACE": 1e9},
     ),
-    "nothing is held": ("load_aware", {f"{_GATE}.SlotGate._defers": _never}),
+    "nothing is held": ("load_aware", {f"{_GATE}.SlotGate._defers": _always_false}),
     "no question before a start": (
         "load_aware",
         {"caperstack.admission.owner.MAX_READING_AGE_SECONDS": 1e9},
     ),
-    "no hedges": ("load_aware", {f"{_DISPATCH}._may_hedge": _never}),
-    "no repeats": ("load_aware", {f"{_DISPATCH}._may_repeat": _never}),
-    "no moves": ("load_aware", {"caperstack.routing.candidates.Candidates.free": _none_free}),
+    "no hedges": ("load_aware", {f"{_DISPATCH}._may_hedge": _always_false}),
+    "no repeats": ("load_aware", {f"{_DISPATCH}._may_repeat": _always_false}),
+    "no moves": ("load_aware", {"caperstack.routing.candidates.Candidates.free": _no_candidates}),
     "loads told to all": (
         "load_aware",
         {"caperstack.peers.interest.CALLS_SECONDS": 1e9},
@@ -114,7 +124,12 @@
 
 @contextlib.contextmanager
 def policy_in_force(name):
-    """Decide by the policy of that name meanwhile; the value is the entries' way to choose.
+    """Apply the named policy within the context; yield the routing policy of entries.
+
+    Parameters
+    ----------
+    name : str
+        A key of `POLICIES`.
 
     Raises
     ------
@@ -124,8 +139,8 @@
     if name not in POLICIES:
         known = ", ".join(POLICIES)
         raise ConfigurationError(f"not one of {known}", step="play", peer=name)
-    choice, changes = POLICIES[name]
+    routing_policy, changes = POLICIES[name]
     with contextlib.ExitStack() as stack:
         for place, value in changes.items():
             stack.enter_context(mock.patch(place, value))
-        yield choice
+        yield routing_policy
