--- a/caperstack/admission/gate.py
+++ b/caperstack/admission/gate.py
@@ -6,7 +6,7 @@
 from caperstack.admission.knee import Knee
 from caperstack.admission.limit import SlotLimit
 from caperstack.admission.queue import AdmissionQueue
-from caperstack.calls.model import VISIT_SECONDS, NotRun
+from caperstack.calls.model import SLOW_PHASE_LEFT_SECONDS, NotRun
 from caperstack.clock import now, time_left
 
 __all__ = ["SlotGate"]
@@ -146,7 +146,7 @@
             return True
         if not self._pace.slowed:
             return False
-        return (self._pace.relative - 1) * self._takes(call) > VISIT_SECONDS
+        return (self._pace.relative - 1) * self._takes(call) > SLOW_PHASE_LEFT_SECONDS
 
     def _takes(self, call):
         """Return how long `call` takes on this host as a rule, in seconds."""
@@ -237,7 +237,7 @@
         ahead = max(0, before + 1 - free)
         # The first reading comes long before a visit would end.
         visited = free > 0 and not self._pace.unread
-        wait = VISIT_SECONDS if visited else 0.0
+        wait = SLOW_PHASE_LEFT_SECONDS if visited else 0.0
         wait += ahead * self._times.recent * self._pace.usual / self._limit.limit
         return max(wait, self._cold.wait(before))
 
@@ -259,7 +259,7 @@
                 return
             self._take_slot()
             if len(self._queue):
-                call.started_among = self._running
+                call.running_at_start = self._running
                 self._knee.note_start()
 
     def _wake_after(self, seconds):
@@ -284,7 +284,7 @@
             Whether other many calls may be at work at once from now on.
         """
         before = self._knee.limit
-        if call.started_among:
-            self._knee.note_time(call.started_among, min(ratio, RATIO_MOST))
+        if call.running_at_start:
+            self._knee.note_time(call.running_at_start, min(ratio, RATIO_MOST))
             self._limit.resize(self._knee.limit)
         return self._knee.limit != before
--- a/caperstack/admission/limit.py
+++ b/caperstack/admission/limit.py
@@ -3,7 +3,7 @@
 import math
 
 from caperstack.averages import TimedAverage
-from caperstack.calls.model import guessed_seconds
+from caperstack.calls.model import initial_estimate_seconds
 from caperstack.clock import deadline_after, now
 
 __all__ = ["FailureShare", "ServiceTimes", "SlotLimit"]
@@ -144,7 +144,7 @@
 
     def expect(self, call):
         """Take the guess at the work of `call` for usual until the first answer."""
-        guess = guessed_seconds(call)
+        guess = initial_estimate_seconds(call)
         if self.known or not guess:
             return
         weight = GUESS_WEIGHT if self._guessed else 1.0
@@ -156,7 +156,7 @@
         average = self._routes.get(call.route)
         if average is not None:
             return average.value
-        return guessed_seconds(call) or self._usual
+        return initial_estimate_seconds(call) or self._usual
 
     @property
     def held(self):
--- a/caperstack/admission/standing.py
+++ b/caperstack/admission/standing.py
@@ -7,7 +7,7 @@
 
 #: What calls are told in states in which there are no new ones.
 CLOSED_REASONS = {
-    ServerState.LEAVING: "backend server is leaving",
+    ServerState.DRAINING: "backend server is leaving",
     ServerState.DOWN: "backend server is down",
     ServerState.EVACUATED: "zone is evacuated",
     ServerState.STOPPING: "node stops",
@@ -117,7 +117,7 @@
         if self.node_leaves:
             return self._state
         if not self._listed:
-            return ServerState.LEAVING
+            return ServerState.DRAINING
         if self._evacuated:
             return ServerState.EVACUATED
         return ServerState.DOWN if self._gone else self._health
--- a/caperstack/backend/monitor.py
+++ b/caperstack/backend/monitor.py
@@ -23,7 +23,7 @@
 _STATES = {
     "ok": ServerState.WARM,
     "cold": ServerState.COLD,
-    "draining": ServerState.LEAVING,
+    "draining": ServerState.DRAINING,
 }
 
 
--- a/caperstack/callers/exchange.py
+++ b/caperstack/callers/exchange.py
@@ -95,7 +95,7 @@
         # sends, and it would never read why.  The answer goes out at once; the
         # rest of the body is dropped as it comes, for a bounded time.
         self._parts.clear()
-        self._respond(response_to(outcome, self._port.fractions), close=True, finish=False)
+        self._respond(response_to(outcome, self._port.fractional_seconds), close=True, finish=False)
 
     async def _handle(self):
         try:
@@ -105,7 +105,7 @@
         except Exception as error:
             self._port.fault(error)
             outcome, extra = Unknown("internal error", 500), []
-        response = response_to(outcome, self._port.fractions)
+        response = response_to(outcome, self._port.fractional_seconds)
         response.headers += extra
         self._respond(response, close=self._port.draining)
 
--- a/caperstack/callers/port.py
+++ b/caperstack/callers/port.py
@@ -67,9 +67,9 @@
         self._sweeper = None
 
     @property
-    def fractions(self):
+    def fractional_seconds(self):
         """Whether callers read fractions of a second in ``Retry-After``."""
-        return self._dialect.fractions
+        return self._dialect.fractional_seconds
 
     @property
     def open_exchanges(self):
--- a/caperstack/calls/dialect.py
+++ b/caperstack/calls/dialect.py
@@ -8,8 +8,8 @@
 
 #: A server counts as cold for at most so long after each word of it, in seconds, and
 #: digits of the header beyond that are not read.
-COLD_SECONDS_MOST = 3600.0
-COLD_DIGITS = 9
+MAX_COLD_SECONDS = 3600.0
+MAX_COLD_DIGITS = 9
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     ends_with_connection : bool
         Whether an answer without a length is whole when its connection closes
         without an error.  Elsewhere a server that dies looks the same.
-    fractions : bool
+    fractional_seconds : bool
         Whether callers read fractions of a second in ``Retry-After``.
     """
 
@@ -56,7 +56,7 @@
     cold: str = ""
     traces: bool = True
     ends_with_connection: bool = False
-    fractions: bool = False
+    fractional_seconds: bool = False
 
 
 def cold_seconds(headers, dialect):
@@ -78,7 +78,7 @@
     text = next((value for header, value in headers if header.lower() == name), "0")
     if not (text.isascii() and text.isdigit()):
         raise ValueError(text)
-    return min(int(text[:COLD_DIGITS]) / 1000, COLD_SECONDS_MOST)
+    return min(int(text[:MAX_COLD_DIGITS]) / 1000, MAX_COLD_SECONDS)
 
 
 @dataclass(slots=True)
--- a/caperstack/calls/model.py
+++ b/caperstack/calls/model.py
@@ -8,7 +8,7 @@
 
 __all__ = [
     "SLOWED_PACE",
-    "VISIT_SECONDS",
+    "SLOW_PHASE_LEFT_SECONDS",
     "Answered",
     "Call",
     "Load",
@@ -17,7 +17,7 @@
     "ServerState",
     "Unknown",
     "call_ids",
-    "guessed_seconds",
+    "initial_estimate_seconds",
 ]
 
 #: Calls that one node can number before two starts within a microsecond could
@@ -34,7 +34,7 @@
 
 #: How much longer a neighbour keeps the host that it has, on average, in
 #: seconds: half of a visit of 300 ms, and one in four follows another.
-VISIT_SECONDS = 0.2
+SLOW_PHASE_LEFT_SECONDS = 0.2
 
 
 #: Until calls of a route were answered, their work is taken to last this share
@@ -48,7 +48,7 @@
 
     Attributes
     ----------
-    LEAVING : int
+    DRAINING : int
         The backend server drains; it may come back.
     DOWN : int
         The backend server cannot be reached.
@@ -60,7 +60,7 @@
 
     WARM = 0
     COLD = 1
-    LEAVING = 2
+    DRAINING = 2
     DOWN = 3
     STOPPING = 4
     EVACUATED = 5
@@ -128,7 +128,7 @@
         most; 0 if it is the deadline.
     attempts : int
         The most backend servers that it may be sent to.
-    started_among : int
+    running_at_start : int
         How many calls its backend server had at work when it began, itself
         included, if others waited on; else 0.
     start_expected_at : float
@@ -161,7 +161,7 @@
     route: str = ""
     objective_at: float = 0.0
     attempts: int = 3
-    started_among: int = 0
+    running_at_start: int = 0
     start_expected_at: float = 0.0
     fingerprint: Fingerprint = Fingerprint()
     withheld: object = None
@@ -215,7 +215,7 @@
 Outcome = Answered | NotRun | Unknown
 
 
-def guessed_seconds(call):
+def initial_estimate_seconds(call):
     """Return how long the work of `call` may take, in seconds; 0 if nothing tells.
 
     Notes
--- a/caperstack/calls/responses.py
+++ b/caperstack/calls/responses.py
@@ -44,50 +44,50 @@
 
 
 @singledispatch
-def response_to(outcome, fractions=False):
+def response_to(outcome, fractional_seconds=False):
     """Return the `Response` that tells `outcome` to a caller.
 
     Parameters
     ----------
     outcome : caperstack.calls.model.Outcome
         How the call ended.
-    fractions : bool
+    fractional_seconds : bool
         Whether callers read fractions of a second in ``Retry-After``.
     """
     raise TypeError(f"no such outcome: {outcome!r}")
 
 
 @response_to.register
-def _(outcome: Answered, fractions=False):
+def _(outcome: Answered, fractional_seconds=False):
     headers = end_to_end(outcome.headers)
     headers.append((OUTCOME, "answered"))
     return Response(outcome.status, outcome.reason, headers, outcome.body)
 
 
 @response_to.register
-def _(outcome: NotRun, fractions=False):
+def _(outcome: NotRun, fractional_seconds=False):
     headers = []
     if outcome.status in (429, 503):
-        headers.append(("Retry-After", _retry_after(outcome.retry_after, fractions)))
-    return _told(outcome, headers)
+        headers.append(("Retry-After", _retry_after(outcome.retry_after, fractional_seconds)))
+    return _json_response(outcome, headers)
 
 
 @response_to.register
-def _(outcome: Unknown, fractions=False):
-    return _told(outcome, [])
+def _(outcome: Unknown, fractional_seconds=False):
+    return _json_response(outcome, [])
 
 
-def _retry_after(seconds, fractions):
+def _retry_after(seconds, fractional_seconds):
     """Return the header's text; the standard knows whole seconds only, so one is the least.
 
     References
     ----------
     .. [1] RFC 9110, section 10.2.3.
     """
-    return f"{max(0.05, seconds):.2f}" if fractions else str(max(1, math.ceil(seconds)))
+    return f"{max(0.05, seconds):.2f}" if fractional_seconds else str(max(1, math.ceil(seconds)))
 
 
-def _told(outcome, headers):
+def _json_response(outcome, headers):
     name = outcome_name(outcome)
     body = json.dumps({"outcome": name, "reason": outcome.reason}).encode() + b"\n"
     headers += [
--- a/caperstack/membership/members.py
+++ b/caperstack/membership/members.py
@@ -65,7 +65,7 @@
         backend server that drains while its node stays may come back; there
         the owner's last word counts.
         """
-        drains = self.estimate.state in (ServerState.LEAVING, ServerState.EVACUATED)
+        drains = self.estimate.state in (ServerState.DRAINING, ServerState.EVACUATED)
         return drains or self.listed_leaving or self.leaving_incarnation >= max(self.incarnation, 0)
 
 
--- a/caperstack/membership/tests/test_members.py
+++ b/caperstack/membership/tests/test_members.py
@@ -59,7 +59,7 @@
         member.estimate.begin()
         for _ in range(20):
             member.estimate.take_result(True)
-        member.estimate.take_load(Load(state=ServerState.LEAVING))
+        member.estimate.take_load(Load(state=ServerState.DRAINING))
         members.take_list([entry("x", instance="i@1", leaving=True)])
         self.assertTrue(member.estimate.ejected)
         members.take_list([entry("x", instance="i@2")])
@@ -71,7 +71,7 @@
         members = make_members()
         members.take_list([entry("x")])
         estimate = members.find("x").estimate
-        estimate.take_load(Load(state=ServerState.LEAVING))
+        estimate.take_load(Load(state=ServerState.DRAINING))
         self.assertTrue(members.find("x").leaving)
         estimate.take_load(Load(state=ServerState.WARM))
         self.assertFalse(members.find("x").leaving)
--- a/caperstack/peers/tests/test_port.py
+++ b/caperstack/peers/tests/test_port.py
@@ -27,7 +27,7 @@
 
     def setUp(self):
         self.port = PeerPort(None, None)
-        self.owner = self.port._owner = SimpleNamespace(load=Load(state=ServerState.LEAVING))
+        self.owner = self.port._owner = SimpleNamespace(load=Load(state=ServerState.DRAINING))
         self.caller = FakeConnection(now())
         self.other = FakeConnection(now() - 2 * CALLS_SECONDS)
         self.port._connections = {self.caller: True, self.other: True}
@@ -41,7 +41,7 @@
         # A server's entry was gone and is back.  An entry that took it for
         # leaving has not called it for seconds, and must hear of it now.
         self.tell(state=ServerState.WARM)
-        self.assertEqual(self.other.told, [ServerState.LEAVING, ServerState.WARM])
+        self.assertEqual(self.other.told, [ServerState.DRAINING, ServerState.WARM])
 
     def test_pace_is_told_to_those_who_call(self):
         self.tell(pace=400)
--- a/caperstack/platform/names.py
+++ b/caperstack/platform/names.py
@@ -49,5 +49,5 @@
     cold="X-Cold-Ms",
     traces=False,
     ends_with_connection=True,
-    fractions=True,
+    fractional_seconds=True,
 )
--- a/caperstack/quarantine/crash.py
+++ b/caperstack/quarantine/crash.py
@@ -156,7 +156,7 @@
 
     @property
     def _leaves(self):
-        return self._standing.state in (ServerState.LEAVING, ServerState.STOPPING)
+        return self._standing.state in (ServerState.DRAINING, ServerState.STOPPING)
 
     def started_anew(self):
         """Another start of the backend server is listed: what the last one ran ended with it."""
--- a/caperstack/quarantine/tests/test_crash.py
+++ b/caperstack/quarantine/tests/test_crash.py
@@ -69,7 +69,7 @@
         self.assertEqual(self.at_work(), [[1, 3]])
 
     async def test_server_that_leaves_ends_in_peace(self):
-        self.standing.state = ServerState.LEAVING
+        self.standing.state = ServerState.DRAINING
         lost = call(1)
         self.watch.begin(lost)
         self.assertIsNone(await self.watch.lost(lost))
--- a/caperstack/routing/estimates.py
+++ b/caperstack/routing/estimates.py
@@ -1,6 +1,6 @@
 """What an entry knows for free of each backend server."""
 
-from caperstack.calls.model import SLOWED_PACE, VISIT_SECONDS, Load, ServerState
+from caperstack.calls.model import SLOW_PHASE_LEFT_SECONDS, SLOWED_PACE, Load, ServerState
 from caperstack.clock import deadline_after, now
 
 __all__ = ["Estimate"]
@@ -150,7 +150,7 @@
         usable = max(0.05, 1.0 - self.failing)
         service = self._service_seconds(usual)
         preference = EMPTIER * min(1.0, crowding)
-        held = VISIT_SECONDS if self.slowed else 0.0
+        held = SLOW_PHASE_LEFT_SECONDS if self.slowed else 0.0
         if self.state == ServerState.COLD:
             held += COLD_USUALS * usual
         return held + service * (max(1.0, crowding) + preference) / usable**2
--- a/caperstack/routing/service.py
+++ b/caperstack/routing/service.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from caperstack.averages import TimedAverage
-from caperstack.calls.model import guessed_seconds
+from caperstack.calls.model import initial_estimate_seconds
 from caperstack.clock import now
 from caperstack.routing.budgets import CallBudget
 from caperstack.routing.policies import policy_named
@@ -91,7 +91,7 @@
 
     def expect(self, call):
         """Take the guess at the work of `call` for usual until the first answer."""
-        guess = guessed_seconds(call)
+        guess = initial_estimate_seconds(call)
         if guess:
             self._usual.assume(guess)
 
