--- a/caperstack/backend/client.py
+++ b/caperstack/backend/client.py
@@ -5,7 +5,7 @@
 
 from caperstack.addresses import split_address
 from caperstack.backend.connection import BackendConnection
-from caperstack.backend.freshness import Freshness
+from caperstack.backend.reuse import ReusePolicy
 from caperstack.calls.dialect import Dialect, cold_seconds
 from caperstack.calls.headers import end_to_end
 from caperstack.calls.model import NotRun
@@ -29,7 +29,7 @@
 HEALTHY = 200
 
 #: How much of a header that can't be read is told, in characters.
-UNREADABLE_MOST = 60
+MAX_UNREADABLE_CHARACTERS = 60
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
         Its ``ip:port``.
     connections : int
         The most connections that are open at once; further requests wait.
-    answer_bytes : int
+    max_answer_bytes : int
         The longest answer that is taken.
     dialect : caperstack.calls.dialect.Dialect
         The header names that the backend server knows.
@@ -73,16 +73,16 @@
     decide, which holds the budget for that.
     """
 
-    def __init__(self, address, connections, answer_bytes, dialect=None, on_report=None):
+    def __init__(self, address, connections, max_answer_bytes, dialect=None, on_report=None):
         self._address = address
-        self._answer_bytes = answer_bytes
+        self._max_answer_bytes = max_answer_bytes
         self._dialect = dialect or Dialect()
-        self._for_nodes = frozenset(
+        self._node_headers = frozenset(
             name.lower() for name in (self._dialect.request_id, self._dialect.load)
         )
         self._on_report = on_report or _ignore
-        self._freshness = Freshness()
-        self._room = asyncio.Semaphore(connections)
+        self._reuse = ReusePolicy()
+        self._permits = asyncio.Semaphore(connections)
         self._idle = []
         self._running = set()
         self.opened = 0
@@ -120,7 +120,7 @@
         for connection in list(self._running):
             connection.close()
         self._drop_idle()
-        self._freshness = Freshness()
+        self._reuse = ReusePolicy()
 
     def _drop_idle(self):
         while self._idle:
@@ -150,12 +150,12 @@
             If there was no whole answer; ``sent`` tells whether the backend
             server may have got the request.
         """
-        async with self._room:
-            once = not call.idempotent
-            connection = self._take_idle(once) or await self._open(call.deadline)
+        async with self._permits:
+            at_most_once = not call.idempotent
+            connection = self._take_idle(at_most_once) or await self._open(call.deadline)
             headers = self._headers(call, instance)
             answer = await self._perform(connection, call, headers)
-        return self._refusal(answer) or self._for_the_caller(answer)
+        return self._refusal(answer) or self._without_node_headers(answer)
 
     async def probe(self, path, deadline):
         """Send ``GET path``, without a request id, and return its `ServerHealth`.
@@ -167,7 +167,7 @@
         """
         connection = self._take_idle(False) or await self._open(deadline)
         host = [("Host", self._address)]
-        answer = await self._bounded(
+        answer = await self._within_deadline(
             connection, connection.exchange("GET", path, host, b"", ""), deadline
         )
         return self._health(answer)
@@ -176,7 +176,9 @@
         try:
             cold = cold_seconds(answer.headers, self._dialect)
         except ValueError as error:
-            return ServerHealth(answer.status == HEALTHY, unreadable=str(error)[:UNREADABLE_MOST])
+            return ServerHealth(
+                answer.status == HEALTHY, unreadable=str(error)[:MAX_UNREADABLE_CHARACTERS]
+            )
         return ServerHealth(answer.status == HEALTHY, cold)
 
     async def listens(self, deadline):
@@ -190,36 +192,36 @@
 
     async def _perform(self, connection, call, headers):
         sending = connection.exchange(call.method, call.target, headers, call.body, call.request_id)
-        return await self._bounded(connection, sending, call.deadline)
+        return await self._within_deadline(connection, sending, call.deadline)
 
-    async def _bounded(self, connection, sending, deadline):
+    async def _within_deadline(self, connection, sending, deadline):
         self._running.add(connection)
-        rested_since = connection.idle_since
+        idle_since = connection.idle_since
         begun = now()
-        whole = False
+        complete = False
         try:
             async with asyncio.timeout_at(deadline):
                 answer = await sending
-            whole = True
+            complete = True
             return answer
         except TimeoutError:
             raise BackendError("deadline passed", step="backend", peer=self._address) from None
         except BackendError as error:
-            if rested_since and error.unheard and now() - begun < RESET_SECONDS:
-                self._freshness.note_lost(begun - rested_since)
+            if idle_since and error.unheard and now() - begun < RESET_SECONDS:
+                self._reuse.record_loss(begun - idle_since)
             raise
         finally:
             self._running.discard(connection)
-            if whole:
+            if complete:
                 self._idle.append(connection)
             else:
                 connection.close()
 
-    def _take_idle(self, once):
+    def _take_idle(self, at_most_once):
         """Return a usable idle connection, the last used first, or ``None``."""
         self._drop_old()
         while self._idle:
-            if not self._freshness.trusts(self._idle[-1].idle_since, once):
+            if not self._reuse.allows(self._idle[-1].idle_since, at_most_once):
                 return None
             connection = self._idle.pop()
             if connection.usable():
@@ -233,7 +235,7 @@
 
     async def _open(self, deadline):
         connection = BackendConnection(
-            split_address(self._address), self._dialect, self._answer_bytes, self._on_report
+            split_address(self._address), self._dialect, self._max_answer_bytes, self._on_report
         )
         self.opened += 1
         await connection.open(min(deadline, deadline_after(CONNECT_SECONDS)))
@@ -250,10 +252,10 @@
             headers.append((dialect.target_instance, instance))
         return headers
 
-    def _for_the_caller(self, answer):
+    def _without_node_headers(self, answer):
         """Drop from `answer` what is for nodes only; it would cross zones for nothing."""
         kept = end_to_end(answer.headers)
-        answer.headers = [pair for pair in kept if pair[0].lower() not in self._for_nodes]
+        answer.headers = [pair for pair in kept if pair[0].lower() not in self._node_headers]
         return answer
 
     def _refusal(self, answer):
--- a/caperstack/backend/connection.py
+++ b/caperstack/backend/connection.py
@@ -17,7 +17,7 @@
 MAX_HEADER_BYTES = 64 * 1024
 
 #: Answers to earlier requests that are skipped before the connection is given up.
-FOREIGN_ANSWERS_MOST = 4
+MAX_STALE_ANSWERS = 4
 
 #: How long an idle connection is used again if the backend server does not say
 #: how long it keeps one, and how much sooner than it says, in seconds: its
@@ -32,19 +32,19 @@
     """An `IOStream` that knows how many bytes were read and not asked for."""
 
     def __init__(self, *arguments, **options):
-        self._taken = 0
-        self._wanted = 0
+        self._received = 0
+        self._consumed = 0
         super().__init__(*arguments, **options)
 
     @property
     def surplus(self):
         """Bytes that lie in the buffer beyond what was read from it."""
-        return self._taken - self._wanted
+        return self._received - self._consumed
 
     def read_from_fd(self, buf):
         """Read and count."""
         count = super().read_from_fd(buf)
-        self._taken += count or 0
+        self._received += count or 0
         return count
 
     def read_until_regex(self, regex, max_bytes=None):
@@ -69,33 +69,33 @@
 
     def _count(self, future):
         if not future.cancelled() and future.exception() is None:
-            self._wanted += len(future.result())
+            self._consumed += len(future.result())
 
 
 class _Collector(HTTPMessageDelegate):
     """Collects one answer, or recognises that it belongs to an earlier request."""
 
-    def __init__(self, request_id, dialect, answer_bytes, head_only, on_report):
+    def __init__(self, request_id, dialect, max_answer_bytes, head_only, on_report):
         self._request_id = request_id
         self._dialect = dialect
-        self._answer_bytes = answer_bytes
+        self._max_answer_bytes = max_answer_bytes
         self._head_only = head_only
         self._on_report = on_report
         self._parts = []
         self._size = 0
         self.start = None
         self.headers = None
-        self.foreign = False
+        self.stale = False
         self.too_large = False
         self.framed = False
-        self.whole = False
+        self.complete = False
 
     def headers_received(self, start_line, headers):
         """Note the head; the load that it tells is news already."""
         self.start = start_line
         self.headers = headers
         echoed = headers.get(self._dialect.request_id)
-        self.foreign = echoed is not None and echoed != self._request_id
+        self.stale = echoed is not None and echoed != self._request_id
         self.framed = "Content-Length" in headers or "Transfer-Encoding" in headers
         report = ServerReport.read(headers, self._dialect)
         if report is not None:
@@ -104,14 +104,14 @@
     def data_received(self, chunk):
         """Collect a part of the body within the bound."""
         self._size += len(chunk)
-        if self._size > self._answer_bytes:
+        if self._size > self._max_answer_bytes:
             self.too_large = True
         else:
             self._parts.append(chunk)
 
     def finish(self):
         """The answer is whole, as far as its framing tells."""
-        self.whole = True
+        self.complete = True
 
     def on_connection_close(self):
         """The connection closed before the end."""
@@ -136,19 +136,19 @@
         The backend server's IP and port.
     dialect : caperstack.calls.dialect.Dialect
         The header names.
-    answer_bytes : int
+    max_answer_bytes : int
         The longest answer that is taken.
     on_report : callable
         Called with the `ServerReport` of each answer, when its head is read.
     """
 
-    def __init__(self, address, dialect, answer_bytes, on_report):
+    def __init__(self, address, dialect, max_answer_bytes, on_report):
         self._address = address
         self._dialect = dialect
-        self._answer_bytes = answer_bytes
+        self._max_answer_bytes = max_answer_bytes
         self._on_report = on_report
         self._stream = None
-        self._keeps = True
+        self._reusable = True
         self._idle_until = 0.0
         self.idle_since = 0.0
         self.requests = 0
@@ -192,7 +192,7 @@
         answer.  A look at the socket just before sending shows both; a close
         that crosses the request on the wire remains unknown.
         """
-        if not self._keeps or now() > self._idle_until or self._stream.closed():
+        if not self._reusable or now() > self._idle_until or self._stream.closed():
             return False
         if self._stream.surplus:
             return False
@@ -217,10 +217,10 @@
             RequestStartLine(method, target, "HTTP/1.1"), _header_block(method, headers, body), body
         )
         http.finish()
-        for _ in range(FOREIGN_ANSWERS_MOST):
+        for _ in range(MAX_STALE_ANSWERS):
             collector = await self._collect(http, method, request_id)
-            if not collector.foreign:
-                return self._checked(collector)
+            if not collector.stale:
+                return self._accept(collector)
             # An extra answer to a request that ended long ago lies before ours.
             http = self._http()
             http.finish()
@@ -228,13 +228,13 @@
 
     def _http(self):
         parameters = HTTP1ConnectionParameters(
-            max_header_size=MAX_HEADER_BYTES, max_body_size=self._answer_bytes
+            max_header_size=MAX_HEADER_BYTES, max_body_size=self._max_answer_bytes
         )
         return HTTP1Connection(self._stream, True, parameters)
 
     async def _collect(self, http, method, request_id):
         collector = _Collector(
-            request_id, self._dialect, self._answer_bytes, method == "HEAD", self._on_report
+            request_id, self._dialect, self._max_answer_bytes, method == "HEAD", self._on_report
         )
         try:
             open_still = await http.read_response(collector)
@@ -242,28 +242,28 @@
             open_still = False
         if collector.too_large or self._declared_too_large(collector):
             raise BackendError("answer is too large", step="answer", peer=self._peer)
-        if not collector.whole:
+        if not collector.complete:
             raise BackendError(
                 "connection closed",
                 step="answer",
                 peer=self._peer,
                 unheard=collector.start is None,
             )
-        self._keeps = self._keeps and open_still and not self._stream.closed()
+        self._reusable = self._reusable and open_still and not self._stream.closed()
         return collector
 
     def _declared_too_large(self, collector):
         if collector.headers is None or not collector.has_body:
             return False
         declared = collector.headers.get("Content-Length", "")
-        return declared.isdigit() and int(declared) > self._answer_bytes
+        return declared.isdigit() and int(declared) > self._max_answer_bytes
 
-    def _checked(self, collector):
+    def _accept(self, collector):
         if collector.has_body and not collector.framed:
             self._check_unframed()
         headers = collector.headers
         if headers.get("Connection", "").lower() == "close":
-            self._keeps = False
+            self._reusable = False
         self._idle_until = deadline_after(_idle_seconds(headers.get("Keep-Alive", "")))
         self.idle_since = now()
         return collector.answer()
@@ -273,7 +273,7 @@
         # and a server that dies in the middle would look the same as one that
         # finished.  A reset shows as an error; where a clean close means a
         # whole answer, the dialect says so.
-        self._keeps = False
+        self._reusable = False
         if not self._dialect.ends_with_connection:
             raise BackendError("answer without a length", step="answer", peer=self._peer)
         if self._stream.error is not None:
--- a/caperstack/backend/monitor.py
+++ b/caperstack/backend/monitor.py
@@ -15,7 +15,7 @@
 
 #: Failed readings in a row that make a backend server count as down.  Its
 #: calls may still be answered: then the calls are believed, not the endpoint.
-FAILURES_MOST = 3
+MAX_FAILURES = 3
 
 #: The policies that go by the published reports.
 POLICIES_BY_REPORT = frozenset(("least_reported", "power_of_two"))
@@ -50,18 +50,18 @@
         self._owner = kernel.find("owner")
         self._settings = kernel.find("settings")
         self._metrics = kernel.find("metrics")
-        self._task = asyncio.create_task(self._read_for_ever())
+        self._task = asyncio.create_task(self._read_forever())
 
     async def stop(self):
         """Stop reading."""
         self._task.cancel()
 
-    async def _read_for_ever(self):
+    async def _read_forever(self):
         client = AsyncHTTPClient()
         backend = self._here.backend
         load_next = False
         while True:
-            due = deadline_after(self._interval() * random.uniform(0.95, 1.05))
+            due = deadline_after(self._interval_seconds() * random.uniform(0.95, 1.05))
             if load_next and self._service.policy in POLICIES_BY_REPORT:
                 self._take_load(await self._read(client, backend.load_path))
             else:
@@ -73,7 +73,7 @@
     def _service(self):
         return self._settings.service(self._here.backend.service)
 
-    def _interval(self):
+    def _interval_seconds(self):
         return 1.0 / self._service.measuring_per_second
 
     async def _read(self, client, path):
@@ -93,7 +93,7 @@
             return
         if document is None:
             self._failures += 1
-            if self._failures >= FAILURES_MOST and not self._owner.answering:
+            if self._failures >= MAX_FAILURES and not self._owner.answering:
                 self._set_state(ServerState.DOWN)
             return
         self._failures = 0
--- a/caperstack/backend/pace.py
+++ b/caperstack/backend/probe.py
@@ -6,7 +6,7 @@
 from caperstack.clock import deadline_after, now
 from caperstack.exception import BackendError
 
-__all__ = ["PaceProbe"]
+__all__ = ["HealthProbe"]
 
 #: A probe that takes longer counts as failed, in seconds.
 PROBE_SECONDS = 1.0
@@ -21,15 +21,15 @@
 
 #: Failed probes in a row that make a backend server count as down, unless it
 #: answers calls: then the calls are believed, not the health path.
-FAILURES_MOST = 3
+MAX_FAILURES = 3
 
 #: Probes a second of a backend server that never told a pace, and after how
 #: many of them that is taken for granted.
-WITHOUT_PACE = 2.0
-PROBES_TO_KNOW = 5
+PROBES_PER_SECOND_WITHOUT_LOAD = 2.0
+PROBES_TO_DETECT_LOAD = 5
 
 
-class PaceProbe:
+class HealthProbe:
     """The only one who asks a backend server's health path.
 
     Notes
@@ -45,9 +45,9 @@
         self._rate = rate
         self._failures = 0
         self._probes = 0
-        self._paced = False
-        self._told_at = 0.0
-        self._asking = None
+        self._reports_load = False
+        self._reported_at = 0.0
+        self._refreshing = None
         self._readable = True
         self._task = None
 
@@ -59,7 +59,7 @@
         self._events = kernel.find("events")
         self._client.listen(self._take_report)
         self._owner.expect_pace(self.refresh)
-        self._task = asyncio.create_task(self._ask_for_ever())
+        self._task = asyncio.create_task(self._probe_forever())
 
     async def stop(self):
         """Stop asking."""
@@ -68,16 +68,16 @@
     def _take_report(self, report):
         self._owner.hear_instance(report.instance)
         if report.slots:
-            self._paced = True
-            self._told_at = now()
+            self._reports_load = True
+            self._reported_at = now()
             self._owner.set_pace(report.pace)
 
-    async def _ask_for_ever(self):
+    async def _probe_forever(self):
         while True:
-            await self._ask()
-            await self._until_stale(now())
+            await self._probe()
+            await self._wait_until_due(now())
 
-    async def _until_stale(self, asked_at):
+    async def _wait_until_due(self, asked_at):
         """Wait until no answer has told the pace for an interval, or a health check is due.
 
         Notes
@@ -86,53 +86,53 @@
         got 12 questions a second that told nothing new, two in three of all.
         """
         while True:
-            told_at = max(asked_at, self._told_at)
-            due = min(told_at + self._interval(), asked_at + HEALTH_SECONDS)
+            told_at = max(asked_at, self._reported_at)
+            due = min(told_at + self._interval_seconds(), asked_at + HEALTH_SECONDS)
             if due <= now():
                 return
             await asyncio.sleep(due - now())
 
     async def refresh(self):
         """Ask now, for all who want to know, and wait a moment for the answer."""
-        if not self._paced:
+        if not self._reports_load:
             return
-        if self._asking is None:
-            self._asking = asyncio.create_task(self._ask())
-            self._asking.add_done_callback(self._asked)
-        await asyncio.wait((self._asking,), timeout=REFRESH_SECONDS)
+        if self._refreshing is None:
+            self._refreshing = asyncio.create_task(self._probe())
+            self._refreshing.add_done_callback(self._clear_refresh)
+        await asyncio.wait((self._refreshing,), timeout=REFRESH_SECONDS)
 
-    def _asked(self, _task):
-        self._asking = None
+    def _clear_refresh(self, _task):
+        self._refreshing = None
 
-    def _interval(self):
-        if self._paced or self._probes < PROBES_TO_KNOW:
+    def _interval_seconds(self):
+        if self._reports_load or self._probes < PROBES_TO_DETECT_LOAD:
             return 1.0 / self._rate()
-        return 1.0 / WITHOUT_PACE
+        return 1.0 / PROBES_PER_SECOND_WITHOUT_LOAD
 
-    async def _ask(self):
+    async def _probe(self):
         self._probes += 1
         self._metrics.count("measuring_requests")
         try:
             health = await self._client.probe(self._health_path(), deadline_after(PROBE_SECONDS))
             healthy = health.healthy
-            self._hear_cold(health)
+            self._update_cold(health)
         except BackendError as error:
             self._metrics.count("measuring_failures", kind=error.step)
             healthy = False
         self._failures = 0 if healthy else self._failures + 1
-        self._judge()
+        self._update_health()
 
-    def _hear_cold(self, health):
+    def _update_cold(self, health):
         readable = not health.unreadable
         if self._readable and not readable:
             self._events.belief("foreign header", header="cold", value=health.unreadable)
         self._readable = readable
         self._owner.hear_cold(health.cold_seconds)
 
-    def _judge(self):
+    def _update_health(self):
         if self._owner.node_leaves:
             return
-        if self._failures >= FAILURES_MOST and not self._owner.answering:
+        if self._failures >= MAX_FAILURES and not self._owner.answering:
             self._owner.set_health(ServerState.DOWN)
         elif not self._failures:
             self._owner.set_health(ServerState.WARM)
--- a/caperstack/backend/freshness.py
+++ b/caperstack/backend/reuse.py
@@ -2,22 +2,22 @@
 
 from caperstack.clock import deadline_after, now
 
-__all__ = ["Freshness"]
+__all__ = ["ReusePolicy"]
 
 #: A request that may run once goes out on a connection that rested for less than
 #: this, in seconds, or on a new one, which takes 1 ms.  Backend servers keep idle
 #: connections for 5 to 10 s as a rule.
-TRUSTED_SECONDS = 1.0
+AT_MOST_ONCE_IDLE_SECONDS = 1.0
 
 #: What a connection that turns out dead takes off the trust, as a share of the
 #: time for which it had rested; the least that is left, in seconds; and how long
 #: a server's forgetting is remembered, in seconds.
-CAUTION = 0.5
-TRUSTED_LEAST_SECONDS = 0.05
-REMEMBER_SECONDS = 20.0
+IDLE_SHARE_AFTER_LOSS = 0.5
+MIN_IDLE_SECONDS = 0.05
+LOSS_MEMORY_SECONDS = 20.0
 
 
-class Freshness:
+class ReusePolicy:
     """Learn from lost requests how soon a backend server forgets idle connections.
 
     Notes
@@ -30,32 +30,32 @@
     """
 
     def __init__(self):
-        self._trusted = TRUSTED_SECONDS
-        self._cautious_until = 0.0
+        self._max_idle_seconds = AT_MOST_ONCE_IDLE_SECONDS
+        self._loss_remembered_until = 0.0
 
     @property
-    def cautious(self):
+    def recent_loss(self):
         """Whether a connection was lost lately after a rest."""
-        return now() < self._cautious_until
+        return now() < self._loss_remembered_until
 
-    def trusts(self, rested_since, once):
+    def allows(self, idle_since, at_most_once):
         """Return whether to send on a connection.
 
         Parameters
         ----------
-        rested_since : float
+        idle_since : float
             When its last answer came.
-        once : bool
+        at_most_once : bool
             Whether the request may run once only.
         """
-        if not once and not self.cautious:
+        if not at_most_once and not self.recent_loss:
             return True
-        trusted = self._trusted if self.cautious else TRUSTED_SECONDS
-        return now() - rested_since <= trusted
+        trusted = self._max_idle_seconds if self.recent_loss else AT_MOST_ONCE_IDLE_SECONDS
+        return now() - idle_since <= trusted
 
-    def note_lost(self, rested_seconds):
+    def record_loss(self, rested_seconds):
         """A connection was dead after a rest of so long."""
-        before = self._trusted if self.cautious else TRUSTED_SECONDS
-        after = max(TRUSTED_LEAST_SECONDS, CAUTION * rested_seconds)
-        self._trusted = min(before, after)
-        self._cautious_until = deadline_after(REMEMBER_SECONDS)
+        before = self._max_idle_seconds if self.recent_loss else AT_MOST_ONCE_IDLE_SECONDS
+        after = max(MIN_IDLE_SECONDS, IDLE_SHARE_AFTER_LOSS * rested_seconds)
+        self._max_idle_seconds = min(before, after)
+        self._loss_remembered_until = deadline_after(LOSS_MEMORY_SECONDS)
--- a/caperstack/backend/tests/test_client.py
+++ b/caperstack/backend/tests/test_client.py
@@ -35,7 +35,7 @@
     def __init__(self, *replies):
         self._replies = list(replies)
         self.requests = 0
-        self.hangups = 0
+        self.disconnects = 0
         self._writers = []
         self.address = free_addresses(1)[0]
 
@@ -43,7 +43,7 @@
         ip, port = split_address(self.address)
         self._server = await asyncio.start_server(self._accept, ip, port)
 
-    def hang_up(self):
+    def close_connections(self):
         """Close the open connections, and wait until the close is out."""
         for writer in self._writers:
             writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
@@ -56,7 +56,7 @@
                 reply = self._replies.pop(0) if self._replies else b""
                 if reply is None:
                     await reader.read()
-                    self.hangups += 1
+                    self.disconnects += 1
                     return
                 writer.write(reply)
                 if not reply.endswith(b"ok"):
@@ -82,7 +82,7 @@
             await client.fetch(call)
         return caught.exception
 
-    async def test_sweep_is_not_repeated_on_a_dead_connection(self):
+    async def test_non_idempotent_request_is_not_resent_after_connection_loss(self):
         # A treasurer's sweep reaches the backend server over a kept-alive
         # connection; the server runs it and dies without a byte of answer.
         # An HTTP library that sends any request again on a fresh connection,
@@ -94,7 +94,7 @@
             self.assertTrue(error.sent)
             self.assertEqual(self.server.requests, 2)
 
-    async def test_listing_is_not_repeated_here(self):
+    async def test_idempotent_request_is_not_resent_by_the_client(self):
         # The backend server runs a listing and dies before it answers.  A
         # repeat on this leg would be outside the budget that all entries
         # share; it is told that the listing was sent, and the entry decides.
@@ -110,28 +110,28 @@
         # leg had not noticed the close and sent into the dead connection.
         client = await self.client_for(GOOD, GOOD)
         await client.fetch(make_call())
-        self.server.hang_up()
+        self.server.close_connections()
         answer = await client.fetch(make_call(body=b"sweep"))
         self.assertEqual((answer.status, self.server.requests), (200, 2))
 
-    async def test_server_that_forgets_idle_connections_is_believed(self):
+    async def test_request_lost_on_an_idle_connection_shortens_reuse(self):
         # A backend server forgets connections that rest.  The first listing
         # that is sent on one is lost; the next booking, though its connection
         # rested as briefly, goes out on a new one and is answered.
         client = await self.client_for(GOOD, b"", GOOD, GOOD)
         await client.fetch(make_call("GET", True))
-        rested_since = now()
+        idle_since = now()
         await asyncio.sleep(0.12)
         self.assertTrue((await self.failure(client, make_call("GET", True))).unheard)
-        rested = now() - rested_since
+        idle_seconds = now() - idle_since
         await client.fetch(make_call())
         opened = client.opened
         # Shorter than the first rest, but longer than the half of it that is trusted.
-        await asyncio.sleep(0.75 * rested)
+        await asyncio.sleep(0.75 * idle_seconds)
         await client.fetch(make_call())
         self.assertEqual(client.opened, opened + 1)
 
-    async def test_restart_ends_what_runs_and_keeps_no_connection(self):
+    async def test_restart_fails_running_requests_and_drops_connections(self):
         # The backend server has started anew: what ran in its former run gets
         # no answer any more, and may have run.
         client = await self.client_for(GOOD, None, GOOD)
@@ -147,20 +147,20 @@
         await client.fetch(make_call())
         self.assertEqual(client.opened, opened + 1)
 
-    async def test_refused_connection_is_proof(self):
+    async def test_refused_connection_counts_as_not_sent(self):
         client = BackendClient(free_addresses(1)[0], 10, 1024)
         self.addAsyncCleanup(client.stop)
         self.assertFalse((await self.failure(client, make_call())).sent)
 
-    async def test_death_in_the_middle_of_an_answer(self):
+    async def test_truncated_answer_counts_as_sent(self):
         client = await self.client_for(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
         self.assertTrue((await self.failure(client, make_call())).sent)
 
-    async def test_answer_without_a_length_may_be_a_part(self):
+    async def test_answer_without_a_length_is_rejected(self):
         client = await self.client_for(b"HTTP/1.1 200 OK\r\n\r\nmaybe half")
         self.assertIn("length", (await self.failure(client, make_call())).message)
 
-    async def test_answer_beyond_the_bound(self):
+    async def test_answer_above_the_size_limit_is_rejected(self):
         reply = b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n" + bytes(5000)
         client = await self.client_for(reply)
         self.assertIn("large", (await self.failure(client, make_call())).message)
@@ -170,12 +170,12 @@
         error = await self.failure(client, make_call(seconds=0.2))
         self.assertEqual((error.message, error.sent), ("deadline passed", True))
 
-    async def test_cancelling_hangs_up(self):
+    async def test_cancelling_closes_the_connection(self):
         client = await self.client_for(None)
         task = asyncio.create_task(client.fetch(make_call()))
         while not self.server.requests:
             await asyncio.sleep(0.01)
         task.cancel()
-        while not self.server.hangups:
+        while not self.server.disconnects:
             await asyncio.sleep(0.01)
         self.assertEqual(client.in_flight, 0)
--- a/caperstack/backend/tests/test_pace.py
+++ b/caperstack/backend/tests/test_probe.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 from caperstack.backend.client import ServerHealth
-from caperstack.backend.pace import PaceProbe
+from caperstack.backend.probe import HealthProbe
 from caperstack.calls.dialect import ServerReport
 from caperstack.play.virtual import run_virtual
 
@@ -34,8 +34,8 @@
             self._on_report(REPORT)
 
 
-class TestPaceProbe(unittest.TestCase):
-    """`PaceProbe` in virtual time, at ten probes a second."""
+class TestHealthProbe(unittest.TestCase):
+    """`HealthProbe` in virtual time, at ten probes a second."""
 
     def play(self, work):
         async def played():
@@ -55,7 +55,7 @@
                 "events": None,
                 "metrics": SimpleNamespace(count=lambda *_, **__: None),
             }
-            probe = PaceProbe(lambda: "/health", lambda: 10.0)
+            probe = HealthProbe(lambda: "/health", lambda: 10.0)
             await probe.start(SimpleNamespace(find=services.__getitem__))
             await work(server)
             await probe.stop()
@@ -63,17 +63,17 @@
 
         return run_virtual(played)
 
-    def test_idle_server_is_asked_at_the_rate(self):
+    def test_idle_server_is_probed_at_the_configured_rate(self):
         self.assertAlmostEqual(self.play(lambda _: asyncio.sleep(10.0)), 100, delta=4)
 
-    def test_answers_take_the_place_of_questions(self):
+    def test_load_reports_replace_probes(self):
         # Fifty answers a second tell all that questions would: from 100
         # questions in ten seconds to the ten that show the server's health.
         probes = self.play(lambda server: server.answer_calls(10.0, 0.02))
         self.assertLessEqual(probes, 12)
         self.assertGreaterEqual(probes, 9)
 
-    def test_questions_go_on_when_answers_stop(self):
+    def test_probing_resumes_when_load_reports_stop(self):
         async def work(server):
             await server.answer_calls(5.0, 0.02)
             before = server.probes
--- a/caperstack/platform/assemble.py
+++ b/caperstack/platform/assemble.py
@@ -2,7 +2,7 @@
 
 from caperstack.admission.owner import Owner
 from caperstack.backend.client import BackendClient
-from caperstack.backend.pace import PaceProbe
+from caperstack.backend.probe import HealthProbe
 from caperstack.callers.port import CallerPort
 from caperstack.events.ring import EventRing
 from caperstack.kernel import Kernel
@@ -70,7 +70,9 @@
     reader = StoreReader(here, store, restores)
     kernel.register("store reader", reader)
     kernel.register("operator watch", OperatorWatch(here, store, reader))
-    kernel.register("pace probe", PaceProbe(fleet.health_path, lambda: codec.measuring_per_second))
+    kernel.register(
+        "pace probe", HealthProbe(fleet.health_path, lambda: codec.measuring_per_second)
+    )
     kernel.register("dispatcher", Dispatcher(here, allowance=boot.allowance))
     kernel.register("callers", CallerPort(here, DIALECT))
     kernel.register("ready", ReadyPort(boot.ready_address))
--- a/caperstack/play/hosts.py
+++ b/caperstack/play/hosts.py
@@ -5,7 +5,7 @@
 
 from caperstack.admission.local import LocalOwner
 from caperstack.admission.owner import Owner
-from caperstack.backend.pace import PaceProbe
+from caperstack.backend.probe import HealthProbe
 from caperstack.calls.model import Call
 from caperstack.clock import deadline_after, now
 from caperstack.config.here import Backend, Here
@@ -135,7 +135,7 @@
         kernel.register("suspects", Suspects())
         kernel.register("owner", Owner(here.backend, self.server))
         rate = scenario.health_per_second
-        kernel.register("pace probe", PaceProbe(lambda: "/", lambda: rate))
+        kernel.register("pace probe", HealthProbe(lambda: "/", lambda: rate))
         kernel.register("dispatcher", Dispatcher(here, rng, allowance))
         await kernel.start()
         self.owner.set_cold_limit(self.service.cold_bears, self.service.cold_seconds)
