--- a/caperstack/callers/exchange.py
+++ b/caperstack/callers/exchange.py
@@ -29,9 +29,9 @@
         self._reserved = 0
         self._responded = False
         self._task = None
-        self.quiet_since = now()
+        self.idle_since = now()
         self.due = deadline_after(port.limits.idle_seconds)
-        port.waiting.add(self)
+        port.incomplete.add(self)
 
     def headers_received(self, start_line, headers):
         """Note the request's head; refuse a body that is declared too large."""
@@ -62,7 +62,7 @@
 
     def finish(self):
         """The request is whole: handle it, or end the response of a refused one."""
-        self._port.waiting.discard(self)
+        self._port.incomplete.discard(self)
         if self._responded:
             self._connection.finish()
         else:
@@ -70,7 +70,7 @@
 
     def on_connection_close(self):
         """The caller went away: cancel what runs for it."""
-        self._port.waiting.discard(self)
+        self._port.incomplete.discard(self)
         if self._task is not None:
             self._task.cancel()
         self._done()
@@ -83,7 +83,7 @@
 
     def expire(self):
         """The request did not come in time: close the connection."""
-        self._port.waiting.discard(self)
+        self._port.incomplete.discard(self)
         self._connection.stream.close()
 
     def _refuse_size(self):
@@ -103,7 +103,7 @@
                 self._start, self._headers, b"".join(self._parts), self._connection.context
             )
         except Exception as error:
-            self._port.fault(error)
+            self._port.record_error(error)
             outcome, extra = Unknown("internal error", 500), []
         response = response_to(outcome, self._port.fractional_seconds)
         response.headers += extra
--- a/caperstack/callers/port.py
+++ b/caperstack/callers/port.py
@@ -10,7 +10,7 @@
 
 from caperstack.addresses import split_address
 from caperstack.callers.exchange import DISCARD_BYTES, Exchange
-from caperstack.callers.patience import Patience
+from caperstack.callers.waiting import WaitEstimator
 from caperstack.calls.dialect import Dialect
 from caperstack.calls.fingerprint import fingerprint_of
 from caperstack.calls.headers import (
@@ -57,12 +57,12 @@
         self._dialect = dialect or Dialect()
         self._own_headers = _own_headers(self._dialect)
         self._splitter = Splitter()
-        self._patience = Patience()
+        self._wait_estimator = WaitEstimator()
         self._server = None
         self._body_bytes = 0
         self.limits = here.limits
         self.exchanges = set()
-        self.waiting = set()
+        self.incomplete = set()
         self.draining = False
         self._sweeper = None
 
@@ -86,7 +86,7 @@
         self._sync = kernel.find("settings sync")
         self._claims = kernel.find("claims") if "claims" in kernel.names else None
         self._server = HTTPServer(
-            _Delegates(self),
+            _ConnectionDelegate(self),
             idle_connection_timeout=0,
             max_header_size=MAX_HEADER_BYTES,
             max_buffer_size=DISCARD_BYTES,
@@ -122,11 +122,11 @@
         while True:
             await asyncio.sleep(SWEEP_SECONDS)
             moment = now()
-            for exchange in [e for e in self.waiting if e.due <= moment]:
+            for exchange in [e for e in self.incomplete if e.due <= moment]:
                 self.metrics.count("callers_timed_out")
                 exchange.expire()
 
-    def close_quiet(self, seconds):
+    def close_idle(self, seconds):
         """Close the connections on which nothing came for `seconds`.
 
         Returns
@@ -143,10 +143,10 @@
         long is closed from here.
         """
         moment = now()
-        for exchange in [e for e in self.waiting if moment - e.quiet_since >= seconds]:
+        for exchange in [e for e in self.incomplete if moment - e.idle_since >= seconds]:
             if exchange not in self.exchanges:
                 exchange.expire()
-        return len(self.waiting) + len(self.exchanges)
+        return len(self.incomplete) + len(self.exchanges)
 
     def reserve(self, size):
         """Reserve memory for a part of a body; return whether there is room."""
@@ -159,7 +159,7 @@
         """Give reserved memory back."""
         self._body_bytes -= size
 
-    def fault(self, error):
+    def record_error(self, error):
         """Note a fault of this program; its caller still gets an answer."""
         self.metrics.count("faults", kind=type(error).__name__)
         self._events.state("fault", "none", f"{type(error).__name__}: {error}")
@@ -176,19 +176,19 @@
             call = self._call(start, headers, body, context, name, begun)
         except _BadRequestError as error:
             text = f"{error.field}: {error.reason}"
-            return self._counted(NotRun(text, status=400), "none"), extra
+            return self._count_outcome(NotRun(text, status=400), "none"), extra
         if call is None:
-            return self._counted(self._no_route(start, headers, name), "none"), extra
+            return self._count_outcome(self._no_route(start, headers, name), "none"), extra
         if self._pauses.suspect():
             # The time left that a request carries counts from when it was
             # sent; after a pause nobody knows how long ago that was.
-            return self._counted(NotRun("node was paused", 0.1), call.service), extra
+            return self._count_outcome(NotRun("node was paused", 0.1), call.service), extra
         outcome = await self._outcome(call)
         self._events.call("entry", call, outcome, begun)
         self.metrics.time("caller_seconds", now() - begun, call.service)
-        return self._counted(outcome, call.service), extra
+        return self._count_outcome(outcome, call.service), extra
 
-    def _counted(self, outcome, service):
+    def _count_outcome(self, outcome, service):
         self.metrics.count("outcomes", outcome=outcome_name(outcome), service=service)
         return outcome
 
@@ -231,7 +231,9 @@
             return None
         told = self._time_left_seconds(headers)
         seconds = min(told, route.deadline_seconds) if told else route.deadline_seconds
-        waited = self._patience.waited(route.name or route.path, told) if told else 0.0
+        elapsed_wait = (
+            self._wait_estimator.elapsed_wait(route.name or route.path, told) if told else 0.0
+        )
         depth = _depth(headers)
         key = headers.get(IDEMPOTENCY_KEY, "")
         if len(key) > MAX_KEY_CHARACTERS:
@@ -240,7 +242,7 @@
         if idempotent is None:
             idempotent = start.method in SAFE_METHODS
         deadline = begun + seconds
-        objective_at = begun + route.objective_seconds - waited
+        objective_at = begun + route.objective_seconds - elapsed_wait
         return Call(
             id=0,
             origin=self._here.host,
@@ -285,7 +287,7 @@
         return kept
 
 
-class _Delegates(HTTPServerConnectionDelegate):
+class _ConnectionDelegate(HTTPServerConnectionDelegate):
     """What tornado's server asks for a delegate for each request."""
 
     def __init__(self, port):
--- a/caperstack/callers/tests/test_port.py
+++ b/caperstack/callers/tests/test_port.py
@@ -13,7 +13,7 @@
 
 #: How soon a caller's leaving must show, in seconds; less than the five that
 #: the deadline leaves the call.
-NOTICED_SECONDS = 3.0
+DETECTION_SECONDS = 3.0
 
 
 async def send_raw(address, text):
@@ -24,7 +24,7 @@
     return reader, writer
 
 
-class TestCallerLeaves(unittest.IsolatedAsyncioTestCase):
+class TestCallerDisconnects(unittest.IsolatedAsyncioTestCase):
     """A caller closes its connection before it has an answer."""
 
     async def asyncSetUp(self):
@@ -43,7 +43,7 @@
         loads = [await self.fleet.operator(host, "/health") for host in self.fleet.settings]
         return sum(load["in_flight"] for load in loads)
 
-    async def test_waiting_call_is_dropped(self):
+    async def test_queued_call_of_a_gone_caller_is_dropped(self):
         # Six golfers ask, two slots are free; the last one in the queues hangs
         # up.  Its call must leave the queue of an owner, beside the entry or
         # on another host, before a slot is free, or a booking runs that nobody
@@ -58,7 +58,7 @@
         await asyncio.gather(*others)
         self.assertNotIn("left", merged_ledger(await self.fleet.ledgers()))
 
-    async def test_running_call_is_cancelled(self):
+    async def test_running_call_of_a_gone_caller_is_cancelled(self):
         # A golfer hangs up while a listing runs: the backend server learns of
         # it by the close of its connection, and the slot is free again.
         await self.fleet.control("n0", slow_factor=1000.0)
@@ -75,7 +75,7 @@
             return await count() == wanted
 
         what = f"{count.__name__} {wanted}"
-        await self.fleet.until(condition, NOTICED_SECONDS, what)
+        await self.fleet.until(condition, DETECTION_SECONDS, what)
 
 
 class TestRequests(unittest.IsolatedAsyncioTestCase):
--- a/caperstack/callers/patience.py
+++ b/caperstack/callers/waiting.py
@@ -3,28 +3,28 @@
 import math
 from dataclasses import dataclass
 
-__all__ = ["Patience"]
+__all__ = ["WaitEstimator"]
 
 #: Times left that differ by less than this factor are told as one class.
-STEP = 1.05
+BUCKET_RATIO = 1.05
 
 #: A class that holds this share of the calls belongs to first tries, and so do
 #: those next below it that hold as much: callers of one kind differ in patience
 #: by a sixth or so.  Callers who come back have all kinds of time left.
-USUAL_SHARE = 0.1
+FIRST_TRY_SHARE = 0.1
 
 #: Calls before which nothing is known.
-KNOWN_AFTER = 20
+MIN_CALLS = 20
 
 #: Calls after which old ones count half.
-HALVE_AFTER = 400
+HALVE_AT_CALLS = 400
 
 #: Routes that are told apart; beyond that they are learnt anew.
-ROUTES_MOST = 500
+MAX_ROUTES = 500
 
 
 @dataclass(slots=True)
-class _Class:
+class _Bucket:
     """Calls with about the same time left: how many, and the sum of it in seconds."""
 
     calls: float = 0.0
@@ -39,7 +39,7 @@
         self.seconds /= 2
 
 
-class Patience:
+class WaitEstimator:
     """Tell callers who come back from those who ask for the first time.
 
     Notes
@@ -56,30 +56,30 @@
 
     Examples
     --------
-    >>> patience = Patience()
+    >>> estimator = WaitEstimator()
     >>> for _ in range(50):
-    ...     waited = patience.waited("route", 4.0)
-    >>> patience.waited("route", 3.0)
+    ...     wait = estimator.elapsed_wait("route", 4.0)
+    >>> estimator.elapsed_wait("route", 3.0)
     1.0
     """
 
     def __init__(self):
         self._routes = {}
 
-    def waited(self, route, time_left):
+    def elapsed_wait(self, route, time_left):
         """Return how long a caller with `time_left` seconds has waited, in seconds."""
         classes = self._routes.get(route)
         if classes is None:
-            if len(self._routes) >= ROUTES_MOST:
+            if len(self._routes) >= MAX_ROUTES:
                 self._routes.clear()
             classes = self._routes[route] = {}
-        step = math.floor(math.log(max(time_left, 0.001), STEP))
-        classes.setdefault(step, _Class()).add(time_left)
+        step = math.floor(math.log(max(time_left, 0.001), BUCKET_RATIO))
+        classes.setdefault(step, _Bucket()).add(time_left)
         total = sum(one.calls for one in classes.values())
-        if total < KNOWN_AFTER:
+        if total < MIN_CALLS:
             return 0.0
-        first_tries = _first_tries(classes, USUAL_SHARE * total)
-        if total >= HALVE_AFTER:
+        first_tries = _first_tries(classes, FIRST_TRY_SHARE * total)
+        if total >= HALVE_AT_CALLS:
             _halve(classes)
         if not first_tries or step >= min(first_tries) - 1:
             return 0.0
--- a/caperstack/calls/tests/test_fingerprint.py
+++ b/caperstack/calls/tests/test_fingerprint.py
@@ -14,13 +14,13 @@
 class TestFingerprint(unittest.TestCase):
     """`fingerprint_of` over attempts that are one request, and over others."""
 
-    def test_later_attempt_is_the_same_request(self):
+    def test_retry_has_the_fingerprint_of_the_first_attempt(self):
         # A caller comes again: a new id, less time, a new connection, a counter
         # of its own.
         again = fingerprint(**{"X-Request-Id": "2", "X-Deadline-Ms": "900", "X-Attempt": "2"})
         self.assertEqual(again, fingerprint(**{"X-Request-Id": "1"}))
 
-    def test_other_requests_of_the_same_path_or_caller_are_told_apart(self):
+    def test_different_requests_have_different_fingerprints(self):
         base = fingerprint(method="POST", body=b"1")
         others = [
             fingerprint(method="POST", body=b"2"),
@@ -30,7 +30,7 @@
         ]
         self.assertNotIn(base.request, [other.request for other in others])
 
-    def test_callers_of_one_request_are_told_apart(self):
+    def test_callers_of_the_same_request_are_distinguished(self):
         base = fingerprint()
         for other in (fingerprint(service="t"), fingerprint(Authorization="Bearer b")):
             self.assertEqual(other.request, base.request)
--- a/caperstack/calls/tests/test_headers.py
+++ b/caperstack/calls/tests/test_headers.py
@@ -22,7 +22,7 @@
         ]
         self.assertEqual(end_to_end(headers), [("X-Kept", "2")])
 
-    def test_forwarded_is_a_chain(self):
+    def test_forwarded_elements_are_appended(self):
         given = [("Forwarded", "for=10.0.0.1"), ("X-Forwarded-For", "10.0.0.9")]
         headers = dict(forwarded(given, "10.0.0.2", 'club.example"'))
         self.assertEqual(
@@ -30,20 +30,20 @@
         )
         self.assertEqual(headers["X-Forwarded-For"], "10.0.0.9")
 
-    def test_forwarded_address_of_version_six_is_quoted(self):
+    def test_forwarded_ipv6_address_is_quoted(self):
         headers = dict(forwarded([], "::1", ""))
         self.assertEqual(headers["Forwarded"], 'for="[::1]";proto=http')
 
-    def test_trace_goes_on_with_a_new_span(self):
+    def test_valid_trace_is_continued_with_a_new_span(self):
         mine = traceparent(TRACE)
         self.assertEqual(mine[:36], TRACE[:36])
         self.assertNotEqual(mine, TRACE)
 
-    def test_bad_trace_is_replaced(self):
+    def test_invalid_trace_is_replaced(self):
         for bad in ("", "00-zz", "00-" + "0" * 32 + "-00f067aa0ba902b7-01"):
             self.assertRegex(traceparent(bad), "^00-[0-9a-f]{32}-[0-9a-f]{16}-01$")
 
-    def test_request_id_is_kept_if_usable(self):
+    def test_valid_request_id_is_kept(self):
         self.assertEqual(request_id("abc-1"), "abc-1")
         for bad in ("", "a b", "x" * 200, "line\nbreak"):
             self.assertRegex(request_id(bad), "^[0-9a-f]{16}$")
@@ -52,7 +52,7 @@
 class TestResponses(unittest.TestCase):
     """`response_to`."""
 
-    def test_each_outcome_says_what_it_is(self):
+    def test_outcome_header_names_the_outcome(self):
         outcomes = {
             "answered": Answered(204, "No Content", [("Connection", "close")], b""),
             "not-run": NotRun("queue is full", 0.2),
@@ -63,10 +63,10 @@
             self.assertEqual(headers[OUTCOME], name)
             self.assertNotIn("Connection", headers)
 
-    def test_refusal_says_when_to_come_back(self):
+    def test_refusal_has_a_retry_after_header(self):
         self.assertIn(("Retry-After", "3"), response_to(NotRun("full", 2.1)).headers)
         self.assertNotIn("Retry-After", dict(response_to(NotRun("large", status=413)).headers))
 
-    def test_reason_cannot_add_headers(self):
+    def test_line_breaks_in_a_reason_cannot_inject_headers(self):
         headers = dict(response_to(Unknown("a\r\nSet-Cookie: b")).headers)
         self.assertNotIn("\n", headers["Caperstack-Reason"])
--- a/caperstack/node/drain.py
+++ b/caperstack/node/drain.py
@@ -64,7 +64,7 @@
     await _until(plan.close_at)
     callers.stop_listening()
     while now() < plan.end_at:
-        connections = callers.close_quiet(QUIET_SECONDS)
+        connections = callers.close_idle(QUIET_SECONDS)
         busy = connections or peers.calls or not owner.idle
         if not busy and now() >= noticed_at:
             break
