--- a/caperstack/calls/__init__.py
+++ b/caperstack/calls/__init__.py
@@ -1,1 +1,1 @@
-"""Calls, their headers and their outcomes."""
+"""Calls, their headers and outcomes, and the responses sent to callers."""
--- a/caperstack/calls/dialect.py
+++ b/caperstack/calls/dialect.py
@@ -1,4 +1,4 @@
-"""The header names and habits of the callers and backend servers of one deployment."""
+"""Header names and HTTP conventions of the callers and backend servers of a deployment."""
 
 from dataclasses import dataclass
 
@@ -6,44 +6,47 @@
 
 __all__ = ["Dialect", "ServerReport", "cold_seconds"]
 
-#: A server counts as cold for at most so long after each word of it, in seconds, and
-#: digits of the header beyond that are not read.
+#: Longest time for which one response can declare its server cold, in seconds.
 MAX_COLD_SECONDS = 3600.0
+
+#: Number of leading digits of the cold header that are parsed; the rest is ignored.
 MAX_COLD_DIGITS = 9
 
 
 @dataclass(frozen=True, slots=True)
 class Dialect:
-    """What requests and answers carry; the defaults are the product's own.
+    """Header names and conventions used in requests and responses.
 
-    An empty name means that the header does not exist.
+    The defaults are caperstack's own.  A header with an empty name is not used.
 
     Attributes
     ----------
     request_id : str
-        Names the request; a backend server that echoes it shows which request
-        an answer belongs to.
+        Identifies the request.  A backend server that echoes it shows which
+        request a response belongs to.
     time_left : str
-        Milliseconds that the sender will still wait.
+        Milliseconds for which the sender still waits.
     caller_service : str
-        The service beside which the request began; set by the entry.
+        Service of the entry node's own backend server; set by the entry.
     target_instance : str
-        The instance that a request is meant for; another one refuses it.
+        Instance that the request is meant for; any other instance refuses it.
     instance : str
-        The instance that answers.
+        Instance that sent the response.
     not_executed : str
-        Marks an answer as a refusal: the backend server did not run the request.
+        Marks a response as a refusal: the backend server did not run the request.
     load : str
-        Running, waiting, slots and pace, separated by commas.
+        Running requests, queued requests, slots and slowdown in percent,
+        separated by commas.
     cold : str
-        Milliseconds for which the server stays cold, in answers of its health path.
+        Milliseconds for which the server stays cold, in responses of its health path.
     traces : bool
-        Whether the node adds ``Traceparent``, ``Forwarded`` and the depth.
+        Whether the node adds ``Traceparent``, ``Forwarded`` and the call depth.
     ends_with_connection : bool
-        Whether an answer without a length is whole when its connection closes
-        without an error.  Elsewhere a server that dies looks the same.
+        Whether a response without a length is complete when its connection
+        closes without an error.  If false, such a response is an error, since
+        a server that crashes midway closes its connection in the same way.
     fractional_seconds : bool
-        Whether callers read fractions of a second in ``Retry-After``.
+        Whether callers accept fractions of a second in ``Retry-After``.
     """
 
     request_id: str = REQUEST_ID
@@ -60,19 +63,25 @@
 
 
 def cold_seconds(headers, dialect):
-    """Return for how long the server that sent `headers` stays cold, in seconds.
+    """Return for how many seconds the server that sent `headers` stays cold.
 
     Parameters
     ----------
     headers : list of (str, str)
-        Of an answer of the health path.
+        Headers of a response of the health path.
     dialect : Dialect
-        The name of the header; without it, every server is warm.
+        Gives the name of the header; if the name is empty, every server is warm.
+
+    Returns
+    -------
+    float
+        At most `MAX_COLD_SECONDS`; 0 if the header is absent.
 
     Raises
     ------
     ValueError
-        With the header's text, if it is no whole number of milliseconds.
+        If the header is not a whole number of milliseconds.  The message is
+        the header's text.
     """
     name = dialect.cold.lower()
     text = next((value for header, value in headers if header.lower() == name), "0")
@@ -83,16 +92,17 @@
 
 @dataclass(slots=True)
 class ServerReport:
-    """What an answer told of its backend server beside the answer itself.
+    """Instance and load that a backend server reports in the headers of a response.
 
     Attributes
     ----------
     instance : str
-        The instance that answered; empty if it did not say.
+        Instance that sent the response; empty if not reported.
     running, waiting, slots : int
-        Its load; zero slots if it did not say.
+        Running requests, queued requests and slots; `slots` is 0 if the load
+        is not reported.
     pace : float
-        How many times longer than usual work takes at this moment.
+        Slowdown: current service time relative to the nominal one.
     """
 
     instance: str = ""
@@ -103,7 +113,7 @@
 
     @classmethod
     def read(cls, headers, dialect):
-        """Return the report in response `headers`, or ``None`` if there is none."""
+        """Return the report in response `headers`; ``None`` if they contain none."""
         instance = headers.get(dialect.instance, "") if dialect.instance else ""
         text = headers.get(dialect.load, "") if dialect.load else ""
         figures = [figure.strip() for figure in text.split(",")]
--- a/caperstack/calls/fingerprint.py
+++ b/caperstack/calls/fingerprint.py
@@ -1,4 +1,4 @@
-"""What a request asks for and who asks, as two numbers that its next attempt has too."""
+"""Hashes of a request and of its caller that are the same for every attempt."""
 
 from dataclasses import dataclass
 
@@ -6,23 +6,23 @@
 
 __all__ = ["Fingerprint", "fingerprint_of"]
 
-#: The headers that name who asks, by widespread custom; lower case.
+#: Headers that commonly identify the caller; lower case.
 CREDENTIALS = ("authorization", "cookie", "x-api-key")
 
-#: Callers are told apart among those who ask for one thing: a few bits do.
+#: 32 bits are enough, since only callers of the same request need to be distinguished.
 CALLER_MASK = 0xFFFFFFFF
 
 
 @dataclass(frozen=True, slots=True)
 class Fingerprint:
-    """Names a request over all its attempts, whatever their ids and entries.
+    """Identifies a request across its attempts, whatever their ids and entry nodes.
 
     Attributes
     ----------
     request : int
-        Hash of host, method, target and body; 0 if it was not taken.
+        Hash of host, method, target and body; 0 if it was not computed.
     caller : int
-        Hash of who asks.
+        Hash of the caller's service and credentials.
     """
 
     request: int = 0
@@ -30,7 +30,7 @@
 
     @property
     def text(self):
-        """The hash of the request in hexadecimal, for logs."""
+        """Hash of the request in hexadecimal, for logs."""
         return f"{self.request:016x}"
 
 
@@ -40,20 +40,20 @@
     Parameters
     ----------
     method, target : str
-        Of the request line; the target with its query.
+        Method and target of the request line; the target includes the query.
     headers : tornado.httputil.HTTPHeaders
-        As the caller sent them.
+        Headers as the caller sent them.
     body : bytes
-        The whole body.
+        Complete body.
     service : str
-        The service beside which the request began.
+        Service of the entry node's own backend server.
 
     Notes
     -----
-    The id, the deadline and the connection's headers differ from attempt to
-    attempt and are left out; so is all else that a client may set anew.
-    Failure: with all headers in it, a retry counter or a date would make each
-    attempt another request, and none would ever be recognised.
+    Of the headers only ``Host`` enters the hash of the request.  The id, the
+    deadline and the connection headers differ between attempts, and clients may
+    set others anew: with a retry counter or a date in the hash, no attempt would
+    be recognised as the same request.
     """
     digest = xxhash.xxh3_64()
     for part in (method, headers.get("Host", ""), target):
--- a/caperstack/calls/headers.py
+++ b/caperstack/calls/headers.py
@@ -1,4 +1,4 @@
-"""Headers on their way through a node: what is dropped, added and passed on."""
+"""Header names, and the headers that a node drops, adds and forwards."""
 
 import random
 import re
@@ -22,13 +22,14 @@
 TRACEPARENT = "Traceparent"
 IDEMPOTENCY_KEY = "Idempotency-Key"
 
-#: Milliseconds that the caller will still wait; in, and less time to the backend server.
+#: Milliseconds for which the caller still waits.  The backend server gets a lower value,
+#: reduced by the time spent in the nodes.
 TIME_LEFT = "Caperstack-Time-Left-Ms"
 
-#: How many calls lie above this one in its tree; services pass it on.
+#: Depth of the call in its call tree; services pass it on in the calls that they make.
 DEPTH = "Caperstack-Depth"
 
-#: "answered", "not-run" or "unknown", and why.
+#: Outcome of the call ("answered", "not-run" or "unknown") and its reason.
 OUTCOME = "Caperstack-Outcome"
 REASON = "Caperstack-Reason"
 CRITICALITY = "Caperstack-Criticality"
@@ -49,7 +50,7 @@
     )
 )
 
-#: Names need to differ, not to be secret: no system call for each.
+#: Ids need to be unique, not secret, so that a generator without system calls suffices.
 _random = random.Random()
 
 _REQUEST_ID = re.compile(r"[\x21-\x7e]{1,128}")
@@ -57,17 +58,22 @@
 
 
 def end_to_end(headers):
-    """Return the ``(name, value)`` pairs that concern both ends.
+    """Return the end-to-end headers among `headers`.
 
     Parameters
     ----------
     headers : iterable of (str, str)
         All headers of a message.
 
+    Returns
+    -------
+    list of (str, str)
+        The headers to forward.
+
     Notes
     -----
-    Drops the connection's own headers, those that ``Connection`` names, and
-    Content-Length, which each leg sets itself.
+    Drops hop-by-hop headers, headers listed in ``Connection``, and
+    ``Content-Length``, which is set anew for each connection.
 
     References
     ----------
@@ -85,14 +91,14 @@
 
 
 def request_id(given):
-    """Return the caller's request id if it is usable, else a new one."""
+    """Return the caller's request id if it is valid, else a new one."""
     if given and _REQUEST_ID.fullmatch(given):
         return given
     return _hex(8)
 
 
 def traceparent(given):
-    """Return a W3C ``traceparent`` with a new span, in the caller's trace if valid.
+    """Return a W3C ``traceparent`` with a new span, in the caller's trace if that is valid.
 
     References
     ----------
@@ -109,22 +115,22 @@
 
 
 def forwarded(headers, remote_ip, host):
-    """Return `headers` with this hop's element in one ``Forwarded`` header.
+    """Return `headers` with an element for this hop in a single ``Forwarded`` header.
 
     Parameters
     ----------
     headers : list of (str, str)
         End-to-end headers.
     remote_ip : str
-        The address that the request came from.
+        Address that the request came from.
     host : str
-        The Host that the caller asked for.
+        ``Host`` header of the caller.
 
     Notes
     -----
-    One header in place of three X-Forwarded ones, which cost the backend
-    server as much to read as all others together; those of an earlier proxy
-    pass as they are.
+    ``Forwarded`` replaces three ``X-Forwarded-*`` headers, which cost the backend
+    server as much to parse as all others together.  ``X-Forwarded-*`` headers of
+    an earlier proxy are forwarded unchanged.
 
     References
     ----------
--- a/caperstack/calls/model.py
+++ b/caperstack/calls/model.py
@@ -1,4 +1,4 @@
-"""A call on its way through the nodes, and the outcomes in which it can end."""
+"""Calls, the load and state of backend servers, and the outcomes of calls."""
 
 import itertools
 from dataclasses import dataclass, field
@@ -20,42 +20,48 @@
     "initial_estimate_seconds",
 ]
 
-#: Calls that one node can number before two starts within a microsecond could
-#: meet; the identifier must stay within 63 bits for the codec.
+#: Number of ids reserved for each microsecond of the start time.  Ids of successive
+#: starts collide only if a node makes more calls than this per microsecond.  Ids
+#: must fit into the 63 bits that the codec allows.
 IDS_PER_MICROSECOND = 512
 
 
-#: A host on which work takes this many times the usual, or more, takes no call
-#: that could run elsewhere: a neighbour has it for some hundred milliseconds.
-#: A listing that starts there needs four times as long and misses its
-#: objective; the refusal costs one exchange between nodes.
+#: A host with this slowdown or more takes no call that could run elsewhere: another
+#: tenant uses its processor for some hundred milliseconds.  A listing that starts there
+#: takes four times as long and misses its objective; a refusal costs one exchange of
+#: messages between nodes.
 SLOWED_PACE = 1.8
 
 
-#: How much longer a neighbour keeps the host that it has, on average, in
-#: seconds: half of a visit of 300 ms, and one in four follows another.
+#: Mean time until a slow phase of a host ends, in seconds: half of a phase of 300 ms,
+#: and more because one phase in four directly follows another.
 SLOW_PHASE_LEFT_SECONDS = 0.2
 
 
-#: Until calls of a route were answered, their work is taken to last this share
-#: of the objective.  Operators set objectives at 2.7 times the usual work (220 ms
-#: of 600, 290 of 800, 550 of 1,500, 55 of 150 on the sheets of two sites).
+#: Assumed service time of a route without answered calls, as a share of the objective.
+#: Operators set objectives at 2.7 times the baseline service time (220 ms of 600, 290 of
+#: 800, 550 of 1,500 and 55 of 150 in the settings of two sites).
 WORK_SHARE = 0.37
 
 
 class ServerState:
-    """What a node says of its backend server, or of itself.
+    """State of a backend server, or of its node, that the node reports to its peers.
 
     Attributes
     ----------
+    WARM : int
+        The backend server takes calls without restriction.
+    COLD : int
+        The backend server has started recently and takes fewer calls.
     DRAINING : int
-        The backend server drains; it may come back.
+        The backend server is draining; it may return to service.
     DOWN : int
-        The backend server cannot be reached.
-    EVACUATED : int
-        Operators have evacuated its zone; it may come back.
+        The backend server is unreachable.
     STOPPING : int
-        The node itself ends; only another incarnation comes back.
+        The node is shutting down; only a new incarnation of it returns.
+    EVACUATED : int
+        Operators have evacuated the availability zone; the server may return
+        to service.
     """
 
     WARM = 0
@@ -68,24 +74,24 @@
 
 @dataclass(slots=True)
 class Load:
-    """The load of a backend server as its owner knows it.
+    """Load of a backend server as known to its owner.
 
     Attributes
     ----------
     in_flight, queued, limit : int
-        Calls running, calls waiting, and calls allowed to run at once.
+        Running calls, queued calls, and the concurrency limit.
     service_us : int
-        The recent service time in microseconds, calls still running included;
-        0 before the first answer.
+        Recent service time in microseconds, including calls that are still
+        running; 0 before the first response.
     state : int
         A `ServerState`.
     failing : int
-        The share of recent calls that failed, in percent.
+        Share of recent calls that failed, in percent.
     published : int
-        The calls in flight that the backend server's load endpoint last gave.
+        Calls in flight that the backend server's load endpoint last reported.
     pace : int
-        How long work takes on the host at this moment, in percent of what it
-        takes there lately.
+        Slowdown of the host: current service time in percent of its recent
+        baseline.
     """
 
     in_flight: int = 0
@@ -100,46 +106,49 @@
 
 @dataclass(slots=True)
 class Call:
-    """One request of a caller, or one attempt at it.
+    """A caller's request, or one attempt at it.
 
     Attributes
     ----------
     id : int
-        Names the attempt among all of its ``origin``, the host that made it.
+        Identifies the attempt among those of its `origin`.
+    origin : str
+        Host of the entry node that made the attempt.
     request_id : str
-        Names the request in headers, logs and events, over all hosts.
+        Identifies the request in headers, logs and events of all hosts.
     deadline, queue_until : float
-        Points on the local monotonic clock: when the caller stops waiting, and
+        Times on the local monotonic clock: when the caller stops waiting, and
         until when the call may wait for a slot.
     criticality : int
         A `caperstack.config.tree.Criticality`.
     key : str
-        The caller's idempotency key, or empty.
+        The caller's idempotency key; empty if it gave none.
     depth : int
-        How many calls lie above this one in its tree of calls.
+        Depth of the call in its call tree; 0 for the root.
     sent_at : float
-        When an attempt was handed to its owner; 0 before.
+        Time at which the attempt was handed to its owner; 0 before.
     last : bool
-        There is no other backend server left to try.
+        Whether no other backend server is left to try.
     route : str
-        Names the route, under which service times are learnt.
+        Name of the route; service times are learnt for each route.
     objective_at : float
-        The point on the local monotonic clock until which an answer is worth
-        most; 0 if it is the deadline.
+        Time on the local monotonic clock until which a response has its full
+        value; 0 if that is the deadline.
     attempts : int
-        The most backend servers that it may be sent to.
+        Maximum number of backend servers that the call may be sent to.
     running_at_start : int
-        How many calls its backend server had at work when it began, itself
-        included, if others waited on; else 0.
+        Number of calls running on the backend server when this one started,
+        including itself, if further calls were queued; else 0.
     start_expected_at : float
-        When it was expected to start, if it had to wait for a slot; else 0.
+        Estimated start time, if the call had to wait for a slot; else 0.
     fingerprint : caperstack.calls.fingerprint.Fingerprint
-        What it asks for, the same for each attempt at it.
+        Identifies the request; the same for each attempt.
     withheld : object
-        With ``await fetch(limit)``, which brings the body if the entry has kept it
-        until the call starts; else ``None``.
+        ``await withheld.fetch(limit)`` transfers the body if the entry has kept
+        it until the call starts; ``None`` if `body` is present.
     notes : list of (float, str)
-        What happened to the call here, for the time line.
+        Times and descriptions of what this node did with the call, for the time
+        line.
     """
 
     id: int
@@ -170,7 +179,7 @@
 
 @dataclass(slots=True)
 class Answered:
-    """The backend server answered; the answer is whole."""
+    """The backend server sent a complete response."""
 
     status: int
     reason: str
@@ -180,14 +189,18 @@
 
 @dataclass(slots=True)
 class NotRun:
-    """The call did not run and will not.
+    """The call did not run and will not run.
 
     Attributes
     ----------
+    reason : str
+        Reason that the caller gets.
     retry_after : float
-        Seconds after which another try makes sense.
+        Seconds after which a retry is useful.
+    status : int
+        HTTP status for the caller.
     offered : bool
-        Whether a backend server got the call and refused it.
+        Whether a backend server received the call and refused it.
     """
 
     reason: str
@@ -202,9 +215,13 @@
 
     Attributes
     ----------
+    reason : str
+        Reason that the caller gets.
+    status : int
+        HTTP status for the caller.
     end : int
-        Names the end of the backend server that took the call; 0 if it lives, or
-        if the call was not to blame.
+        Identifies the crash of the backend server that had the call; 0 if the
+        server did not crash, or not because of the call.
     """
 
     reason: str
@@ -216,15 +233,21 @@
 
 
 def initial_estimate_seconds(call):
-    """Return how long the work of `call` may take, in seconds; 0 if nothing tells.
+    """Return an initial estimate of the service time of `call`, in seconds.
+
+    Returns
+    -------
+    float
+        `WORK_SHARE` of the time until the objective; 0 if the call has none.
 
     Notes
     -----
-    Failure: all nodes are killed at once and start with no memory.  With a
-    fixed first guess of 20 ms for work of 220 every owner promised a slot in
-    37 ms and refused after a second, and entries moved on after 5 ms.  The
-    objective that the call carries tells the order of magnitude; the deadline
-    alone, which is often ten times the work, does not.
+    Used until responses of the route have been measured, for example after all
+    nodes were killed at once and restarted.  With a fixed estimate of 20 ms for a
+    service time of 220 ms, every owner promised a slot within 37 ms and refused
+    after a second, and entries tried another owner after 5 ms.  The objective gives
+    the order of magnitude; the deadline does not, as it is often ten times the
+    service time.
     """
     if not call.objective_at or call.objective_at >= call.deadline:
         return 0.0
@@ -232,11 +255,11 @@
 
 
 def call_ids():
-    """Return an iterator of call identifiers, apart from those of earlier starts.
+    """Return an iterator over call ids that differ from those of earlier starts.
 
     Notes
     -----
-    The start's wall clock fills the upper bits, so that the identifiers of a
-    node's earlier incarnation, which an owner may still remember, stay apart.
+    The upper bits hold the wall-clock time of the start.  Owners may still remember
+    ids of the node's previous incarnation, which must not be used again.
     """
     return itertools.count(wall_microseconds() * IDS_PER_MICROSECOND)
--- a/caperstack/calls/responses.py
+++ b/caperstack/calls/responses.py
@@ -1,4 +1,4 @@
-"""What a caller is told: status, headers and body for each outcome."""
+"""Build the response to a caller from the outcome of its call."""
 
 import json
 import math
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """A response to a caller."""
+    """An HTTP response to a caller."""
 
     status: int
     reason: str
@@ -24,8 +24,8 @@
 
 @singledispatch
 def outcome_name(outcome):
-    """Return the outcome's name as the `OUTCOME` header gives it."""
-    raise TypeError(f"no such outcome: {outcome!r}")
+    """Return the name of `outcome` in the `OUTCOME` header."""
+    raise TypeError(f"unsupported outcome type: {outcome!r}")
 
 
 @outcome_name.register
@@ -45,16 +45,21 @@
 
 @singledispatch
 def response_to(outcome, fractional_seconds=False):
-    """Return the `Response` that tells `outcome` to a caller.
+    """Return the `Response` that reports `outcome` to a caller.
 
     Parameters
     ----------
     outcome : caperstack.calls.model.Outcome
-        How the call ended.
+        Outcome of the call.
     fractional_seconds : bool
-        Whether callers read fractions of a second in ``Retry-After``.
+        Whether callers accept fractions of a second in ``Retry-After``.
+
+    Raises
+    ------
+    TypeError
+        If `outcome` is of no known type.
     """
-    raise TypeError(f"no such outcome: {outcome!r}")
+    raise TypeError(f"unsupported outcome type: {outcome!r}")
 
 
 @response_to.register
@@ -78,7 +83,11 @@
 
 
 def _retry_after(seconds, fractional_seconds):
-    """Return the header's text; the standard knows whole seconds only, so one is the least.
+    """Return the value of ``Retry-After``, rounded up to whole seconds as in the standard.
+
+    Notes
+    -----
+    The minimum is one second, or 0.05 s with fractional seconds.
 
     References
     ----------
--- a/caperstack/calls/tests/test_fingerprint.py
+++ b/caperstack/calls/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Which attempts count as one request."""
+"""Tests of request fingerprints."""
 
 import unittest
 
@@ -12,11 +12,10 @@
 
 
 class TestFingerprint(unittest.TestCase):
-    """`fingerprint_of` over attempts that are one request, and over others."""
+    """Which attempts `fingerprint_of` treats as the same request."""
 
     def test_retry_has_the_fingerprint_of_the_first_attempt(self):
-        # A caller comes again: a new id, less time, a new connection, a counter
-        # of its own.
+        # A retry has a new id, less time left, a new connection and a retry counter.
         again = fingerprint(**{"X-Request-Id": "2", "X-Deadline-Ms": "900", "X-Attempt": "2"})
         self.assertEqual(again, fingerprint(**{"X-Request-Id": "1"}))
 
--- a/caperstack/calls/tests/test_headers.py
+++ b/caperstack/calls/tests/test_headers.py
@@ -1,4 +1,4 @@
-"""Headers on their way through, and what callers are told."""
+"""Tests of header forwarding and of the responses to callers."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class TestHeaders(unittest.TestCase):
-    """What is dropped, added and passed on."""
+    """Headers that a node drops, adds and forwards."""
 
     def test_hop_by_hop_and_named_headers_are_dropped(self):
         headers = [
@@ -50,7 +50,7 @@
 
 
 class TestResponses(unittest.TestCase):
-    """`response_to`."""
+    """Tests of `response_to`."""
 
     def test_outcome_header_names_the_outcome(self):
         outcomes = {
