--- a/caperstack/backend/__init__.py
+++ b/caperstack/backend/__init__.py
@@ -1,1 +1,1 @@
-"""The leg to the backend server, and its measuring."""
+"""Connections to the backend server, and probes of its health and load."""
--- a/caperstack/backend/client.py
+++ b/caperstack/backend/client.py
@@ -1,4 +1,4 @@
-"""The leg to the backend server: kept-alive connections, each request sent once."""
+"""HTTP client for the backend server: keep-alive connections, no resending."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,36 +14,38 @@
 
 __all__ = ["BackendClient", "ServerHealth"]
 
+#: Timeout for opening a connection, in seconds.
 CONNECT_SECONDS = 1.0
 
-#: A connection that the backend server had forgotten is reset within so many
-#: seconds of a send; one that is lost later was lost with its work.
+#: A connection that the backend server dropped while it was idle is reset within this
+#: time after a send, in seconds.  A connection lost later is lost while the server
+#: works on the request.
 RESET_SECONDS = 0.02
 
-#: How soon a call that the backend server refused may come back, in seconds: at once.
-#: Its owner never sends more calls than there are slots, so a refusal does not
-#: mean that the server is full, and the next try has the same chance later.
+#: Delay before a call that the backend server refused may be retried, in seconds.  The
+#: owner never sends more calls than there are slots, so a refusal does not mean that
+#: the server is full, and waiting does not make a retry more likely to succeed.
 REFUSED_SECONDS = 0.0
 
 MISDIRECTED = 421
 HEALTHY = 200
 
-#: How much of a header that can't be read is told, in characters.
+#: Length to which an unreadable header is cut before it is reported, in characters.
 MAX_UNREADABLE_CHARACTERS = 60
 
 
 @dataclass(frozen=True, slots=True)
 class ServerHealth:
-    """What the health path says.
+    """Result of a request to the health path.
 
     Attributes
     ----------
     healthy : bool
-        Whether the server calls itself healthy.
+        Whether the server reports that it is healthy.
     cold_seconds : float
-        For how long it stays cold; 0 if it does not say so.
+        Seconds for which the server stays cold; 0 if not reported.
     unreadable : str
-        What it says of that, if it can't be read.
+        Text of the cold header if it could not be parsed, else empty.
     """
 
     healthy: bool
@@ -52,25 +54,25 @@
 
 
 class BackendClient:
-    """Requests to one backend server over at most `connections` connections.
+    """Send requests to one backend server over a bounded number of connections.
 
     Parameters
     ----------
     address : str
-        Its ``ip:port``.
+        Address of the backend server, ``ip:port``.
     connections : int
-        The most connections that are open at once; further requests wait.
+        Maximum number of calls in progress at once; further calls wait.
     max_answer_bytes : int
-        The longest answer that is taken.
-    dialect : caperstack.calls.dialect.Dialect
-        The header names that the backend server knows.
+        Maximum size of a response body, in bytes.
+    dialect : caperstack.calls.dialect.Dialect, optional
+        Header names and conventions of the backend server.
     on_report : callable, optional
         Called with each `caperstack.calls.dialect.ServerReport`.
 
     Notes
     -----
-    A request is sent once.  Whether it may be sent again is for the entry to
-    decide, which holds the budget for that.
+    A request is sent only once.  The entry decides whether it may be sent again,
+    since it holds the retry budget.
     """
 
     def __init__(self, address, connections, max_answer_bytes, dialect=None, on_report=None):
@@ -89,7 +91,7 @@
 
     @property
     def in_flight(self):
-        """How many requests are running."""
+        """Number of requests in progress, probes included."""
         return len(self._running)
 
     @property
@@ -98,25 +100,31 @@
         return self._address
 
     def listen(self, on_report):
-        """Call ``on_report(report)`` with what each answer tells of the server."""
+        """Call ``on_report(report)`` with the `ServerReport` of each response."""
         self._on_report = on_report
 
     def move(self, address):
-        """Another address holds the backend server from now on."""
+        """Use another address for the backend server from now on."""
         self._address = address
         self._drop_idle()
 
     async def start(self, kernel):
-        """Nothing to start: connections open with the first requests."""
+        """Do nothing; connections are opened on demand."""
 
     async def stop(self):
-        """Drop all connections."""
+        """Close all connections."""
         for connection in list(self._running):
             connection.close()
         self._drop_idle()
 
     def restart(self):
-        """The backend server has started anew: nothing of its former run is left to wait for."""
+        """Close all connections after a restart of the backend server.
+
+        Notes
+        -----
+        Requests that ran in the previous run of the server get no response any more.
+        What was learnt about its idle connections is discarded.
+        """
         for connection in list(self._running):
             connection.close()
         self._drop_idle()
@@ -129,26 +137,26 @@
     async def fetch(self, call, instance=""):
         """Send `call` to the backend server and return its outcome.
 
-        Cancelling the task closes the connection, which is how a backend
-        server learns that nobody waits any longer.
+        Cancelling the task closes the connection, which tells the backend server
+        that nobody waits for the response any longer.
 
         Parameters
         ----------
         call : caperstack.calls.model.Call
             The call.
         instance : str
-            The instance that it is meant for; empty for any.
+            Instance that the call is meant for; empty for any.
 
         Returns
         -------
         Answered or NotRun
-            `NotRun` is the backend server's own word that it did not run it.
+            `NotRun` if the backend server states that it did not run the call.
 
         Raises
         ------
         BackendError
-            If there was no whole answer; ``sent`` tells whether the backend
-            server may have got the request.
+            If there was no complete response.  Its ``sent`` attribute tells whether
+            the backend server may have received the request.
         """
         async with self._permits:
             at_most_once = not call.idempotent
@@ -163,7 +171,7 @@
         Raises
         ------
         BackendError
-            If there was no whole answer.
+            If there was no complete response.
         """
         connection = self._take_idle(False) or await self._open(deadline)
         host = [("Host", self._address)]
@@ -182,7 +190,7 @@
         return ServerHealth(answer.status == HEALTHY, cold)
 
     async def listens(self, deadline):
-        """Return whether the backend server takes connections; ``None`` if nothing tells."""
+        """Return whether the backend server accepts connections; ``None`` if unknown."""
         try:
             connection = await self._open(deadline)
         except BackendError as error:
@@ -218,7 +226,7 @@
                 connection.close()
 
     def _take_idle(self, at_most_once):
-        """Return a usable idle connection, the last used first, or ``None``."""
+        """Return the usable idle connection that was used last, or ``None``."""
         self._drop_old()
         while self._idle:
             if not self._reuse.allows(self._idle[-1].idle_since, at_most_once):
@@ -253,7 +261,7 @@
         return headers
 
     def _without_node_headers(self, answer):
-        """Drop from `answer` what is for nodes only; it would cross zones for nothing."""
+        """Remove headers that only nodes use, to save traffic between zones."""
         kept = end_to_end(answer.headers)
         answer.headers = [pair for pair in kept if pair[0].lower() not in self._node_headers]
         return answer
@@ -269,4 +277,4 @@
 
 
 def _ignore(_report):
-    """Nobody wants to know."""
+    """Discard the report; the default if no callback is given."""
--- a/caperstack/backend/connection.py
+++ b/caperstack/backend/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend server, on tornado's HTTP/1.1 client connection."""
+"""A connection to a backend server, based on tornado's HTTP/1.1 connection."""
 
 import asyncio
 import socket
@@ -16,12 +16,12 @@
 
 MAX_HEADER_BYTES = 64 * 1024
 
-#: Answers to earlier requests that are skipped before the connection is given up.
+#: Number of responses to earlier requests after which the connection is given up.
 MAX_STALE_ANSWERS = 4
 
-#: How long an idle connection is used again if the backend server does not say
-#: how long it keeps one, and how much sooner than it says, in seconds: its
-#: close may be on the way already.
+#: Time for which an idle connection may be reused if the backend server sends no
+#: ``Keep-Alive`` timeout, and margin subtracted from such a timeout, in seconds.  The
+#: margin is needed because the server's close may already be on its way.
 IDLE_SECONDS = 5.0
 IDLE_MARGIN_SECONDS = 1.0
 
@@ -29,7 +29,7 @@
 
 
 class _Stream(IOStream):
-    """An `IOStream` that knows how many bytes were read and not asked for."""
+    """An `IOStream` that counts bytes received from the socket but not consumed."""
 
     def __init__(self, *arguments, **options):
         self._received = 0
@@ -38,29 +38,29 @@
 
     @property
     def surplus(self):
-        """Bytes that lie in the buffer beyond what was read from it."""
+        """Number of received bytes that no read has consumed."""
         return self._received - self._consumed
 
     def read_from_fd(self, buf):
-        """Read and count."""
+        """Read from the socket, and count the bytes received."""
         count = super().read_from_fd(buf)
         self._received += count or 0
         return count
 
     def read_until_regex(self, regex, max_bytes=None):
-        """Read up to a match, and count."""
+        """Read up to a match, and count the bytes consumed."""
         return self._counted(super().read_until_regex(regex, max_bytes))
 
     def read_until(self, delimiter, max_bytes=None):
-        """Read up to a delimiter, and count."""
+        """Read up to a delimiter, and count the bytes consumed."""
         return self._counted(super().read_until(delimiter, max_bytes))
 
     def read_bytes(self, num_bytes, partial=False):
-        """Read so many bytes, and count."""
+        """Read `num_bytes` bytes, and count the bytes consumed."""
         return self._counted(super().read_bytes(num_bytes, partial))
 
     def read_until_close(self):
-        """Read to the end, and count."""
+        """Read until the connection closes, and count the bytes consumed."""
         return self._counted(super().read_until_close())
 
     def _counted(self, future):
@@ -73,7 +73,7 @@
 
 
 class _Collector(HTTPMessageDelegate):
-    """Collects one answer, or recognises that it belongs to an earlier request."""
+    """Collect one response, or detect that it belongs to an earlier request."""
 
     def __init__(self, request_id, dialect, max_answer_bytes, head_only, on_report):
         self._request_id = request_id
@@ -91,7 +91,7 @@
         self.complete = False
 
     def headers_received(self, start_line, headers):
-        """Note the head; the load that it tells is news already."""
+        """Store the head, and report the server's load without waiting for the body."""
         self.start = start_line
         self.headers = headers
         echoed = headers.get(self._dialect.request_id)
@@ -102,7 +102,7 @@
             self._on_report(report)
 
     def data_received(self, chunk):
-        """Collect a part of the body within the bound."""
+        """Collect a part of the body, up to the size limit."""
         self._size += len(chunk)
         if self._size > self._max_answer_bytes:
             self.too_large = True
@@ -110,36 +110,36 @@
             self._parts.append(chunk)
 
     def finish(self):
-        """The answer is whole, as far as its framing tells."""
+        """Mark the response as complete according to its framing."""
         self.complete = True
 
     def on_connection_close(self):
-        """The connection closed before the end."""
+        """Do nothing; an incomplete response is detected by `complete`."""
 
     @property
     def has_body(self):
-        """Whether an answer of this kind carries a body."""
+        """Whether a response to this request with this status has a body."""
         return not self._head_only and self.start.code not in (204, 304)
 
     def answer(self):
-        """Return the `Answered`."""
+        """Return the response as an `Answered` outcome."""
         headers = list(self.headers.get_all())
         return Answered(self.start.code, self.start.reason, headers, b"".join(self._parts))
 
 
 class BackendConnection:
-    """A connection that carries one request after the other.
+    """A connection that carries one request at a time.
 
     Parameters
     ----------
     address : (str, int)
-        The backend server's IP and port.
+        IP address and port of the backend server.
     dialect : caperstack.calls.dialect.Dialect
-        The header names.
+        Header names and conventions of the backend server.
     max_answer_bytes : int
-        The longest answer that is taken.
+        Maximum size of a response body, in bytes.
     on_report : callable
-        Called with the `ServerReport` of each answer, when its head is read.
+        Called with the `ServerReport` of each response, as soon as its head is read.
     """
 
     def __init__(self, address, dialect, max_answer_bytes, on_report):
@@ -154,12 +154,12 @@
         self.requests = 0
 
     async def open(self, deadline):
-        """Connect.
+        """Open the connection.
 
         Raises
         ------
         BackendError
-            With ``sent`` false, if there is no connection by `deadline`.
+            If the connection is not open by `deadline`; ``sent`` is false.
         """
         sock = socket.socket()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -183,14 +183,14 @@
         return f"{self._address[0]}:{self._address[1]}"
 
     def usable(self):
-        """Return whether the idle connection can carry a further request.
+        """Return whether the idle connection can carry another request.
 
         Notes
         -----
-        Failure: the backend server closed the idle connection, or sent bytes
-        that no request asked for.  The request would be lost, or get another's
-        answer.  A look at the socket just before sending shows both; a close
-        that crosses the request on the wire remains unknown.
+        If the backend server has closed the idle connection, a request on it would
+        be lost; if it has sent unsolicited bytes, the request would get the response
+        to another one.  Peeking at the socket just before sending detects both.  A
+        close that crosses the request on the wire is not detected.
         """
         if not self._reusable or now() > self._idle_until or self._stream.closed():
             return False
@@ -204,12 +204,12 @@
             return False
 
     async def exchange(self, method, target, headers, body, request_id):
-        """Send a request and return its whole `Answered`.
+        """Send a request and return the complete response as `Answered`.
 
         Raises
         ------
         BackendError
-            With ``sent`` true, if there was no whole answer to this request.
+            If there was no complete response to this request; ``sent`` is true.
         """
         self.requests += 1
         http = self._http()
@@ -221,7 +221,7 @@
             collector = await self._collect(http, method, request_id)
             if not collector.stale:
                 return self._accept(collector)
-            # An extra answer to a request that ended long ago lies before ours.
+            # A surplus response to an earlier request precedes this one's.
             http = self._http()
             http.finish()
         raise BackendError("answers of other requests", step="answer", peer=self._peer)
@@ -269,10 +269,10 @@
         return collector.answer()
 
     def _check_unframed(self):
-        # Failure: the end of such an answer is the close of its connection,
-        # and a server that dies in the middle would look the same as one that
-        # finished.  A reset shows as an error; where a clean close means a
-        # whole answer, the dialect says so.
+        # A response without a length ends when its connection closes, so that a
+        # server that crashes midway looks like one that finished.  Only a reset
+        # shows as an error.  The dialect tells whether a clean close means that the
+        # response is complete.
         self._reusable = False
         if not self._dialect.ends_with_connection:
             raise BackendError("answer without a length", step="answer", peer=self._peer)
@@ -280,13 +280,19 @@
             raise BackendError("connection reset", step="answer", peer=self._peer)
 
     def close(self):
-        """Close it; a backend server takes this as a sign that nobody waits."""
+        """Close the connection, which tells the backend server that nobody waits."""
         if self._stream is not None:
             self._stream.close()
 
 
 def _idle_seconds(keep_alive):
-    """Return how long the connection may idle, from a ``Keep-Alive`` header."""
+    """Return for how many seconds an idle connection may be reused.
+
+    Parameters
+    ----------
+    keep_alive : str
+        Value of the ``Keep-Alive`` header, or empty.
+    """
     for part in keep_alive.split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
--- a/caperstack/backend/monitor.py
+++ b/caperstack/backend/monitor.py
@@ -1,4 +1,4 @@
-"""Read the backend server's health and load endpoints, within a fixed budget."""
+"""Poll the health and load endpoints of the backend server at a fixed rate."""
 
 import asyncio
 import json
@@ -11,13 +11,14 @@
 
 __all__ = ["BackendMonitor"]
 
+#: Timeout of a request to an endpoint, in seconds.
 REQUEST_SECONDS = 1.0
 
-#: Failed readings in a row that make a backend server count as down.  Its
-#: calls may still be answered: then the calls are believed, not the endpoint.
+#: Consecutive failed requests after which a backend server counts as down.  It does
+#: not while it answers calls, which prove more than the endpoint.
 MAX_FAILURES = 3
 
-#: The policies that go by the published reports.
+#: Policies that use the load reported by the load endpoint.
 POLICIES_BY_REPORT = frozenset(("least_reported", "power_of_two"))
 
 _STATES = {
@@ -28,15 +29,15 @@
 
 
 class BackendMonitor:
-    """The only reader of a backend server's endpoints.
+    """Poll the health and load endpoints of the node's own backend server.
 
     Notes
     -----
-    Together they are read at the rate that the settings allow; however many
-    nodes there are, the backend server sees one reader.  The load endpoint is
-    read, in turn with health, only for the policies that go by reports: ours
-    knows the load from the calls, and spends the whole budget on learning of a
-    drain sooner.
+    No other node polls the backend server, so its polling load does not depend on the
+    number of nodes.  The settings limit the total rate of both endpoints.  The load
+    endpoint is polled, alternating with the health endpoint, only for policies that use
+    its reports.  Other policies know the load from the calls, and use the whole
+    rate for the health endpoint, which shows a drain sooner.
     """
 
     def __init__(self, here):
@@ -46,14 +47,14 @@
         self._incarnation = None
 
     async def start(self, kernel):
-        """Start reading."""
+        """Start polling."""
         self._owner = kernel.find("owner")
         self._settings = kernel.find("settings")
         self._metrics = kernel.find("metrics")
         self._task = asyncio.create_task(self._read_forever())
 
     async def stop(self):
-        """Stop reading."""
+        """Stop polling."""
         self._task.cancel()
 
     async def _read_forever(self):
@@ -83,7 +84,7 @@
             response = await client.fetch(url, request_timeout=REQUEST_SECONDS)
             document = json.loads(response.body)
         except Exception as error:
-            # Whatever is wrong with an endpoint, it is one failed reading.
+            # Any error of an endpoint counts as one failed request.
             self._metrics.count("measuring_failures", kind=type(error).__name__)
             return None
         return document if isinstance(document, dict) else None
--- a/caperstack/backend/probe.py
+++ b/caperstack/backend/probe.py
@@ -1,4 +1,4 @@
-"""Ask the backend server's health path often enough to know the pace of its host."""
+"""Probe the backend server's health path to track its health and its host's slowdown."""
 
 import asyncio
 
@@ -8,36 +8,42 @@
 
 __all__ = ["HealthProbe"]
 
-#: A probe that takes longer counts as failed, in seconds.
+#: Timeout of a probe, in seconds.
 PROBE_SECONDS = 1.0
 
-#: How long a call waits for a question that is asked before it starts, in seconds:
-#: an answer takes 1 ms where the backend server lives.
+#: Maximum time for which the start of a call waits for a probe, in seconds.  A live
+#: backend server answers a probe within 1 ms.
 REFRESH_SECONDS = 0.02
 
-#: Without answers that tell the pace there is a probe each interval; with them one
-#: a second at least, which shows the server's own health.
+#: Maximum time between probes, in seconds.  Load reports in responses to calls replace
+#: probes, but do not show the server's health.
 HEALTH_SECONDS = 1.0
 
-#: Failed probes in a row that make a backend server count as down, unless it
-#: answers calls: then the calls are believed, not the health path.
+#: Consecutive failed probes after which a backend server counts as down.  It does not
+#: while it answers calls, which prove more than the health path.
 MAX_FAILURES = 3
 
-#: Probes a second of a backend server that never told a pace, and after how
-#: many of them that is taken for granted.
+#: Rate of probes of a backend server that reports no load, per second, and number of
+#: probes without a report after which a server is taken for one of these.
 PROBES_PER_SECOND_WITHOUT_LOAD = 2.0
 PROBES_TO_DETECT_LOAD = 5
 
 
 class HealthProbe:
-    """The only one who asks a backend server's health path.
+    """Probe the health path of the node's own backend server.
+
+    Parameters
+    ----------
+    health_path : callable
+        Returns the health path.
+    rate : callable
+        Returns the rate of probes, per second.
 
     Notes
     -----
-    The pace of a host, how long work takes on it at this moment, changes every
-    few hundred milliseconds as its neighbours come and go.  The owner asks for
-    it beside the backend server, where asking crosses no zone, and tells peers
-    of changes; nobody else asks.
+    The slowdown of a host changes every few hundred milliseconds, with the load of
+    its other tenants.  Only the owner probes the backend server, which is beside it,
+    so that probes cross no availability zone; it sends changes to its peers.
     """
 
     def __init__(self, health_path, rate):
@@ -52,7 +58,7 @@
         self._task = None
 
     async def start(self, kernel):
-        """Start asking."""
+        """Start probing."""
         self._owner = kernel.find("owner")
         self._client = kernel.find("backend client")
         self._metrics = kernel.find("metrics")
@@ -62,7 +68,7 @@
         self._task = asyncio.create_task(self._probe_forever())
 
     async def stop(self):
-        """Stop asking."""
+        """Stop probing."""
         self._task.cancel()
 
     def _take_report(self, report):
@@ -77,23 +83,27 @@
             await self._probe()
             await self._wait_until_due(now())
 
-    async def _wait_until_due(self, asked_at):
-        """Wait until no answer has told the pace for an interval, or a health check is due.
+    async def _wait_until_due(self, probed_at):
+        """Wait until the load report is older than an interval, or a health check is due.
 
         Notes
         -----
-        Each answer to a call brings the pace.  Asked beside them, a busy server
-        got 12 questions a second that told nothing new, two in three of all.
+        Each response to a call reports the load, and with it the slowdown.  When
+        probes did not take that into account, a busy server got 12 redundant probes
+        per second, two thirds of all.
         """
         while True:
-            told_at = max(asked_at, self._reported_at)
-            due = min(told_at + self._interval_seconds(), asked_at + HEALTH_SECONDS)
+            reported_at = max(probed_at, self._reported_at)
+            due = min(reported_at + self._interval_seconds(), probed_at + HEALTH_SECONDS)
             if due <= now():
                 return
             await asyncio.sleep(due - now())
 
     async def refresh(self):
-        """Ask now, for all who want to know, and wait a moment for the answer."""
+        """Probe now, and wait up to `REFRESH_SECONDS` for the response.
+
+        Concurrent callers share one probe.
+        """
         if not self._reports_load:
             return
         if self._refreshing is None:
--- a/caperstack/backend/tests/test_client.py
+++ b/caperstack/backend/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The leg against a backend server that misbehaves on kept-alive connections."""
+"""Tests of `BackendClient` against servers that misbehave on keep-alive connections."""
 
 import asyncio
 import socket
@@ -30,7 +30,11 @@
 
 
 class ScriptedServer:
-    """A server that answers the n-th request with the n-th reply, then closes."""
+    """Answer the n-th request with the n-th reply.
+
+    The connection is closed after a reply that does not end with "ok", and if no reply
+    is left.  For the reply ``None`` the server sends nothing until the client disconnects.
+    """
 
     def __init__(self, *replies):
         self._replies = list(replies)
@@ -44,7 +48,7 @@
         self._server = await asyncio.start_server(self._accept, ip, port)
 
     def close_connections(self):
-        """Close the open connections, and wait until the close is out."""
+        """Shut down the open connections."""
         for writer in self._writers:
             writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
 
@@ -68,7 +72,7 @@
 
 
 class TestBackendClient(unittest.IsolatedAsyncioTestCase):
-    """`BackendClient.fetch`."""
+    """Tests of `BackendClient.fetch`."""
 
     async def client_for(self, *replies):
         self.server = ScriptedServer(*replies)
@@ -83,10 +87,9 @@
         return caught.exception
 
     async def test_non_idempotent_request_is_not_resent_after_connection_loss(self):
-        # A treasurer's sweep reaches the backend server over a kept-alive
-        # connection; the server runs it and dies without a byte of answer.
-        # An HTTP library that sends any request again on a fresh connection,
-        # since the old one "may have timed out", would run the sweep twice.
+        # The backend server runs a request from a keep-alive connection and crashes
+        # before it responds.  An HTTP library that resends requests on a new
+        # connection, assuming an idle timeout, would run the request twice.
         for body in (b"", b"sweep"):
             client = await self.client_for(GOOD, b"", GOOD)
             await client.fetch(make_call())
@@ -95,9 +98,9 @@
             self.assertEqual(self.server.requests, 2)
 
     async def test_idempotent_request_is_not_resent_by_the_client(self):
-        # The backend server runs a listing and dies before it answers.  A
-        # repeat on this leg would be outside the budget that all entries
-        # share; it is told that the listing was sent, and the entry decides.
+        # The backend server crashes while it runs an idempotent request.  If the
+        # client resent it, the retry would bypass the retry budget of the entries.
+        # It reports that the request was sent, and the entry decides.
         client = await self.client_for(GOOD, b"", GOOD)
         await client.fetch(make_call("GET", True))
         error = await self.failure(client, make_call("GET", True))
@@ -105,9 +108,9 @@
         self.assertEqual(self.server.requests, 2)
 
     async def test_idle_connection_closed_by_the_server_is_not_used(self):
-        # A treasurer sends a sweep just after the backend server closed its
-        # idle connections, and is told "unknown" though nothing arrived: the
-        # leg had not noticed the close and sent into the dead connection.
+        # The backend server closes an idle connection.  If the client does not
+        # notice and sends a non-idempotent request on it, the request ends as
+        # "unknown" although it never arrived.
         client = await self.client_for(GOOD, GOOD)
         await client.fetch(make_call())
         self.server.close_connections()
@@ -115,9 +118,9 @@
         self.assertEqual((answer.status, self.server.requests), (200, 2))
 
     async def test_request_lost_on_an_idle_connection_shortens_reuse(self):
-        # A backend server forgets connections that rest.  The first listing
-        # that is sent on one is lost; the next booking, though its connection
-        # rested as briefly, goes out on a new one and is answered.
+        # The backend server silently drops idle connections.  After the first lost
+        # request, a non-idempotent request after a shorter idle time must use a new
+        # connection.
         client = await self.client_for(GOOD, b"", GOOD, GOOD)
         await client.fetch(make_call("GET", True))
         idle_since = now()
@@ -126,14 +129,15 @@
         idle_seconds = now() - idle_since
         await client.fetch(make_call())
         opened = client.opened
-        # Shorter than the first rest, but longer than the half of it that is trusted.
+        # Shorter than the first idle time, but longer than the half up to which
+        # connections are reused.
         await asyncio.sleep(0.75 * idle_seconds)
         await client.fetch(make_call())
         self.assertEqual(client.opened, opened + 1)
 
     async def test_restart_fails_running_requests_and_drops_connections(self):
-        # The backend server has started anew: what ran in its former run gets
-        # no answer any more, and may have run.
+        # Requests from before a restart of the backend server get no response any
+        # more, and may have run.
         client = await self.client_for(GOOD, None, GOOD)
         await client.fetch(make_call())
         running = asyncio.create_task(client.fetch(make_call()))
--- a/caperstack/backend/tests/test_probe.py
+++ b/caperstack/backend/tests/test_probe.py
@@ -1,4 +1,4 @@
-"""How often a backend server is asked for the pace of its host."""
+"""Tests of the rate at which a backend server is probed."""
 
 import asyncio
 import unittest
@@ -13,7 +13,7 @@
 
 
 class FakeServer:
-    """Answers probes, and tells the pace with them and with answers to calls."""
+    """Report the load in responses to probes and to calls."""
 
     def __init__(self):
         self.probes = 0
@@ -35,7 +35,7 @@
 
 
 class TestHealthProbe(unittest.TestCase):
-    """`HealthProbe` in virtual time, at ten probes a second."""
+    """Tests of `HealthProbe` in virtual time, at ten probes per second."""
 
     def play(self, work):
         async def played():
@@ -67,8 +67,8 @@
         self.assertAlmostEqual(self.play(lambda _: asyncio.sleep(10.0)), 100, delta=4)
 
     def test_load_reports_replace_probes(self):
-        # Fifty answers a second tell all that questions would: from 100
-        # questions in ten seconds to the ten that show the server's health.
+        # With 50 load reports per second, only the ten probes that check the server's
+        # health are left of 100 in ten seconds.
         probes = self.play(lambda server: server.answer_calls(10.0, 0.02))
         self.assertLessEqual(probes, 12)
         self.assertGreaterEqual(probes, 9)
--- a/caperstack/backend/tests/test_reuse.py
+++ b/caperstack/backend/tests/test_reuse.py
@@ -1,4 +1,4 @@
-"""Trust in idle connections, learnt from lost requests."""
+"""Tests of the reuse of idle connections after lost requests."""
 
 import unittest
 from unittest import mock
@@ -7,7 +7,7 @@
 
 
 class TestReusePolicy(unittest.TestCase):
-    """`ReusePolicy` with a clock that the test moves."""
+    """Tests of `ReusePolicy` with a simulated clock."""
 
     def setUp(self):
         self.clock = 100.0
@@ -39,8 +39,8 @@
         self.assertTrue(self.allows(4.0, at_most_once=False))
 
     def test_loss_of_a_busy_connection_keeps_the_minimum(self):
-        # A server that dies is no server that forgets: new connections for
-        # each request would be a price for nothing.
+        # The loss of a connection that was not idle shows a crash, not an idle
+        # timeout.  Opening a connection for each request would be of no use.
         self.policy.record_loss(0.0)
         self.assertTrue(self.allows(0.04, at_most_once=True))
 
