--- a/caperstack/backend/connection.py
+++ b/caperstack/backend/connection.py
@@ -237,9 +237,9 @@
             request_id, self._dialect, self._max_answer_bytes, method == "HEAD", self._on_report
         )
         try:
-            open_still = await http.read_response(collector)
+            still_open = await http.read_response(collector)
         except StreamClosedError:
-            open_still = False
+            still_open = False
         if collector.too_large or self._declared_too_large(collector):
             raise BackendError("answer is too large", step="answer", peer=self._peer)
         if not collector.complete:
@@ -249,7 +249,7 @@
                 peer=self._peer,
                 unheard=collector.start is None,
             )
-        self._reusable = self._reusable and open_still and not self._stream.closed()
+        self._reusable = self._reusable and still_open and not self._stream.closed()
         return collector
 
     def _declared_too_large(self, collector):
--- a/caperstack/backend/tests/test_probe.py
+++ b/caperstack/backend/tests/test_probe.py
@@ -37,8 +37,8 @@
 class TestHealthProbe(unittest.TestCase):
     """Tests of `HealthProbe` in virtual time, at ten probes per second."""
 
-    def play(self, work):
-        async def played():
+    def count_probes(self, work):
+        async def run():
             server = FakeServer()
             owner = SimpleNamespace(
                 node_leaves=False,
@@ -61,15 +61,15 @@
             await probe.stop()
             return server.probes
 
-        return run_virtual(played)
+        return run_virtual(run)
 
     def test_idle_server_is_probed_at_the_configured_rate(self):
-        self.assertAlmostEqual(self.play(lambda _: asyncio.sleep(10.0)), 100, delta=4)
+        self.assertAlmostEqual(self.count_probes(lambda _: asyncio.sleep(10.0)), 100, delta=4)
 
     def test_load_reports_replace_probes(self):
         # With 50 load reports per second, only the ten probes that check the server's
         # health are left of 100 in ten seconds.
-        probes = self.play(lambda server: server.answer_calls(10.0, 0.02))
+        probes = self.count_probes(lambda server: server.answer_calls(10.0, 0.02))
         self.assertLessEqual(probes, 12)
         self.assertGreaterEqual(probes, 9)
 
@@ -80,7 +80,7 @@
             await asyncio.sleep(2.0)
             self.assertGreaterEqual(server.probes - before, 18)
 
-        self.play(work)
+        self.count_probes(work)
 
 
 if __name__ == "__main__":
--- a/caperstack/callers/__init__.py
+++ b/caperstack/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' HTTP port."""
+"""The HTTP port for callers."""
--- a/caperstack/callers/exchange.py
+++ b/caperstack/callers/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller and its response, as tornado's server brings them."""
+"""A caller's request and its response, as a delegate of tornado's HTTP server."""
 
 import asyncio
 
@@ -11,13 +11,26 @@
 
 __all__ = ["DISCARD_BYTES", "Exchange"]
 
-#: A caller that was refused its body for size may still send this much, unread
-#: by anyone, so that it gets to read the answer.
+#: Bytes of a refused body that are still received and discarded, so that the caller
+#: can finish sending and reads the response.
 DISCARD_BYTES = 1024 * 1024 * 1024
 
 
 class Exchange(HTTPMessageDelegate):
-    """One request and its response; tornado calls the methods in order."""
+    """A request and its response.
+
+    Parameters
+    ----------
+    port : caperstack.callers.port.CallerPort
+        Port that received the request.
+    connection : tornado.httputil.HTTPConnection
+        Connection to the caller.
+
+    Notes
+    -----
+    Tornado calls `headers_received`, `data_received` and `finish` in this order, and
+    `on_connection_close` at any time.
+    """
 
     def __init__(self, port, connection):
         self._port = port
@@ -34,9 +47,9 @@
         port.incomplete.add(self)
 
     def headers_received(self, start_line, headers):
-        """Note the request's head; refuse a body that is declared too large."""
-        # Tornado makes this object for an idle connection too; only from here
-        # on there is a request that a drain must wait for.
+        """Store the head; refuse the request if its declared length is too large."""
+        # Tornado creates this object while the connection is still idle.  There is a
+        # request that a drain must wait for only from here on.
         self._port.exchanges.add(self)
         self._connection.set_close_callback(self.on_connection_close)
         self.due = deadline_after(self._port.limits.body_seconds)
@@ -48,7 +61,7 @@
             self._refuse_size()
 
     def data_received(self, chunk):
-        """Collect a part of the body within the bounds."""
+        """Collect a part of the body, within the limits on size and memory."""
         if self._responded:
             return
         self._size += len(chunk)
@@ -61,7 +74,7 @@
             self._parts.append(chunk)
 
     def finish(self):
-        """The request is whole: handle it, or end the response of a refused one."""
+        """Handle the complete request, or end the response if it was refused."""
         self._port.incomplete.discard(self)
         if self._responded:
             self._connection.finish()
@@ -69,20 +82,20 @@
             self._task = asyncio.create_task(self._handle())
 
     def on_connection_close(self):
-        """The caller went away: cancel what runs for it."""
+        """Cancel the call, since the caller has disconnected."""
         self._port.incomplete.discard(self)
         if self._task is not None:
             self._task.cancel()
         self._done()
 
     def give_up(self):
-        """The process ends before the call does: say so rather than close without a word."""
+        """Respond with an unknown outcome, because the process ends before the call."""
         if self._task is not None and not self._responded:
             self._task.cancel()
             self._respond(response_to(Unknown("node stops", 504)), close=True)
 
     def expire(self):
-        """The request did not come in time: close the connection."""
+        """Close the connection, because it was idle or a request was incomplete too long."""
         self._port.incomplete.discard(self)
         self._connection.stream.close()
 
@@ -91,9 +104,9 @@
         self._refuse(NotRun(f"body is larger than {bound} bytes", status=413))
 
     def _refuse(self, outcome):
-        # Closing now would reset the connection under a caller that still
-        # sends, and it would never read why.  The answer goes out at once; the
-        # rest of the body is dropped as it comes, for a bounded time.
+        # Closing now would reset the connection while the caller still sends, and it
+        # would not read the reason.  The response is sent at once, and the rest of the
+        # body is discarded as it arrives, for a limited time.
         self._parts.clear()
         self._respond(response_to(outcome, self._port.fractional_seconds), close=True, finish=False)
 
--- a/caperstack/callers/port.py
+++ b/caperstack/callers/port.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP port, on tornado's server."""
+"""The HTTP port for callers, based on tornado's HTTP server."""
 
 import asyncio
 from dataclasses import dataclass
@@ -36,10 +36,10 @@
 MAX_KEY_CHARACTERS = 255
 MAX_DEPTH = 64
 
-#: How often requests that do not come in time are looked for.
+#: Interval between checks for idle connections and incomplete requests, in seconds.
 SWEEP_SECONDS = 1.0
 
-#: Until the first settings come, callers are told to try again this soon, in seconds.
+#: ``Retry-After`` of requests that arrive before the first settings, in seconds.
 NO_SETTINGS_SECONDS = 0.3
 
 
@@ -50,7 +50,15 @@
 
 
 class CallerPort:
-    """Accept callers' requests, hand them to the dispatcher and tell the outcome."""
+    """Accept callers' requests, pass them to the dispatcher and return the outcomes.
+
+    Parameters
+    ----------
+    here
+        Start settings of the node.
+    dialect : caperstack.calls.dialect.Dialect, optional
+        Header names and conventions of the callers.
+    """
 
     def __init__(self, here, dialect=None):
         self._here = here
@@ -73,11 +81,11 @@
 
     @property
     def open_exchanges(self):
-        """How many requests are not yet answered."""
+        """Number of requests without a response."""
         return len(self.exchanges)
 
     async def start(self, kernel):
-        """Listen."""
+        """Start listening."""
         self.metrics = kernel.find("metrics")
         self._events = kernel.find("events")
         self._settings = kernel.find("settings")
@@ -97,28 +105,28 @@
         self._sweeper = asyncio.create_task(self._sweep())
 
     async def stop(self):
-        """Close the port and the idle connections."""
+        """Close the port and all connections."""
         self._sweeper.cancel()
         self._server.stop()
         await self._server.close_all_connections()
 
     def begin_drain(self):
-        """Ask callers to close their connections, with the next answer on each."""
+        """Ask callers to close their connections, in the next response on each."""
         self.draining = True
 
     def stop_listening(self):
-        """Take no new connections; open ones get their answers and are asked to close."""
+        """Accept no new connections; open ones still get responses and are asked to close."""
         self.draining = True
         self._server.stop()
 
     def give_up(self):
-        """Answer all open requests now: the process is about to end."""
+        """Respond to all open requests at once, because the process is about to end."""
         for exchange in list(self.exchanges):
             exchange.give_up()
 
     async def _sweep(self):
-        # Tornado's own timeouts cost each request two timers and two futures,
-        # a tenth of its processor time; one look a second does the same.
+        # Tornado's own timeouts cost two timers and two futures per request, a tenth of
+        # its processor time.  A periodic check has the same effect.
         while True:
             await asyncio.sleep(SWEEP_SECONDS)
             moment = now()
@@ -127,20 +135,19 @@
                 exchange.expire()
 
     def close_idle(self, seconds):
-        """Close the connections on which nothing came for `seconds`.
+        """Close connections that have been idle for at least `seconds`.
 
         Returns
         -------
         int
-            How many connections are left.
+            Number of idle connections and open requests that are left.
 
         Notes
         -----
-        Failure: a caller sends on a kept-alive connection at the moment at
-        which a leaving node closes it, and cannot know whether the request
-        ran.  A connection in use is told ``Connection: close`` with its next
-        answer and ends by the caller's hand; only one that has been quiet for
-        long is closed from here.
+        If a draining node closed a keep-alive connection just when its caller sends a
+        request, the caller could not know whether the request ran.  A connection in use
+        therefore gets ``Connection: close`` in its next response and is closed by the
+        caller.  The node closes only connections that have been idle for a while.
         """
         moment = now()
         for exchange in [e for e in self.incomplete if moment - e.idle_since >= seconds]:
@@ -149,39 +156,58 @@
         return len(self.incomplete) + len(self.exchanges)
 
     def reserve(self, size):
-        """Reserve memory for a part of a body; return whether there is room."""
+        """Reserve `size` bytes for a part of a body; return whether they are available."""
         if self._body_bytes + size > self.limits.bodies_bytes:
             return False
         self._body_bytes += size
         return True
 
     def release(self, size):
-        """Give reserved memory back."""
+        """Release `size` reserved bytes."""
         self._body_bytes -= size
 
     def record_error(self, error):
-        """Note a fault of this program; its caller still gets an answer."""
+        """Report an unexpected exception; the caller still gets a response."""
         self.metrics.count("faults", kind=type(error).__name__)
         self._events.state("fault", "none", f"{type(error).__name__}: {error}")
 
     async def handle(self, start, headers, body, context):
-        """Return ``(outcome, headers)`` of a whole request."""
+        """Handle a complete request.
+
+        Parameters
+        ----------
+        start : tornado.httputil.RequestStartLine
+            Request line.
+        headers : tornado.httputil.HTTPHeaders
+            Headers as the caller sent them.
+        body : bytes
+            Complete body.
+        context
+            Tornado's context of the connection, with the caller's ``remote_ip``.
+
+        Returns
+        -------
+        outcome : caperstack.calls.model.Outcome
+            Outcome of the call.
+        headers : list of (str, str)
+            Headers to add to the response.
+        """
         begun = now()
-        name = request_id(headers.get(self._dialect.request_id))
-        extra = [(self._dialect.request_id, name)]
-        # Before the route is looked up: a node that has just started may hold an
-        # older configuration than its peers.
+        identifier = request_id(headers.get(self._dialect.request_id))
+        extra = [(self._dialect.request_id, identifier)]
+        # This precedes the route lookup, because a node that has just started may hold
+        # older settings than its peers.
         await self._sync.until_contact()
         try:
-            call = self._call(start, headers, body, context, name, begun)
+            call = self._call(start, headers, body, context, identifier, begun)
         except _BadRequestError as error:
             text = f"{error.field}: {error.reason}"
             return self._count_outcome(NotRun(text, status=400), "none"), extra
         if call is None:
-            return self._count_outcome(self._no_route(start, headers, name), "none"), extra
+            return self._count_outcome(self._no_route(start, headers, identifier), "none"), extra
         if self._pauses.suspect():
-            # The time left that a request carries counts from when it was
-            # sent; after a pause nobody knows how long ago that was.
+            # The time left in a request counts from when it was sent.  After the node
+            # was paused it is unknown how long ago that was.
             return self._count_outcome(NotRun("node was paused", 0.1), call.service), extra
         outcome = await self._outcome(call)
         self._events.call("entry", call, outcome, begun)
@@ -205,16 +231,16 @@
             self._claims.settle(held, outcome)
         return outcome
 
-    def _no_route(self, start, headers, name):
+    def _no_route(self, start, headers, identifier):
         if not self._settings.known:
-            # Failure: a node that has just started knows no route yet and
-            # says 404, which callers take for final.
+            # A node that has just started knows no routes yet.  Callers would take a
+            # 404 for final.
             outcome = NotRun("no settings yet", NO_SETTINGS_SECONDS)
         else:
             outcome = NotRun("no route for this host, method and path", status=404)
         self._events.failure(
             "entry refuses",
-            id=name,
+            id=identifier,
             reason=outcome.reason,
             asked_host=headers.get("Host", ""),
             path=start.path,
@@ -222,17 +248,17 @@
         )
         return outcome
 
-    def _call(self, start, headers, body, context, name, begun):
+    def _call(self, start, headers, body, context, identifier, begun):
         if start.version == "HTTP/1.1" and "Host" not in headers:
             raise _BadRequestError("Host", "missing")
         path = start.path.partition("?")[0]
         route = self._settings.route(start.method, path, headers.get("Host", ""))
         if route is None:
             return None
-        told = self._time_left_seconds(headers)
-        seconds = min(told, route.deadline_seconds) if told else route.deadline_seconds
+        given = self._time_left_seconds(headers)
+        seconds = min(given, route.deadline_seconds) if given else route.deadline_seconds
         elapsed_wait = (
-            self._wait_estimator.elapsed_wait(route.name or route.path, told) if told else 0.0
+            self._wait_estimator.elapsed_wait(route.name or route.path, given) if given else 0.0
         )
         depth = _depth(headers)
         key = headers.get(IDEMPOTENCY_KEY, "")
@@ -246,7 +272,7 @@
         return Call(
             id=0,
             origin=self._here.host,
-            request_id=name,
+            request_id=identifier,
             service=self._splitter.choose(route),
             method=start.method,
             target=start.path,
@@ -266,7 +292,7 @@
         )
 
     def _time_left_seconds(self, headers):
-        """Return how long the caller will wait, in seconds; ``None`` if it does not say."""
+        """Return for how many seconds the caller still waits; ``None`` if not given."""
         name = self._dialect.time_left
         given = headers.get(name)
         if given is None:
@@ -288,17 +314,17 @@
 
 
 class _ConnectionDelegate(HTTPServerConnectionDelegate):
-    """What tornado's server asks for a delegate for each request."""
+    """Create an `Exchange` for each request that tornado's server receives."""
 
     def __init__(self, port):
         self._port = port
 
     def start_request(self, _server_connection, request_connection):
-        """Return the delegate of a new request."""
+        """Return the delegate for a new request."""
         return Exchange(self._port, request_connection)
 
     def on_close(self, _server_connection):
-        """A connection is closed; its exchanges were told."""
+        """Do nothing; exchanges are notified of the close themselves."""
 
 
 def _depth(headers):
@@ -309,7 +335,7 @@
 
 
 def _own_headers(dialect):
-    """Return the lower-case names of the headers that nodes set for the backend server."""
+    """Return the lower-case names of headers that nodes set in requests to backend servers."""
     names = [dialect.request_id, dialect.time_left, dialect.caller_service]
     names += [dialect.target_instance]
     if dialect.traces:
--- a/caperstack/callers/tests/test_port.py
+++ b/caperstack/callers/tests/test_port.py
@@ -1,4 +1,4 @@
-"""The callers' port with real processes: callers that leave, and what is refused at once."""
+"""Tests of the callers' port with real processes: disconnects and invalid requests."""
 
 import asyncio
 import unittest
@@ -8,11 +8,11 @@
 from caperstack.load.ledger import merged_ledger
 from caperstack.standin.backend import LEDGER_ID
 
-#: One slot that a call holds for this long, in milliseconds.
+#: Backend server with one slot and a service time of one second.
 HELD = {"slots": 1, "mean_ms": 1000.0, "sigma": 0.01}
 
-#: How soon a caller's leaving must show, in seconds; less than the five that
-#: the deadline leaves the call.
+#: Time within which a disconnect must be detected, in seconds; less than the five
+#: seconds until the deadline.
 DETECTION_SECONDS = 3.0
 
 
@@ -25,7 +25,7 @@
 
 
 class TestCallerDisconnects(unittest.IsolatedAsyncioTestCase):
-    """A caller closes its connection before it has an answer."""
+    """Callers that close their connection before they have a response."""
 
     async def asyncSetUp(self):
         fleet = small_fleet(2, backend=HELD)
@@ -34,20 +34,19 @@
         self.fleet = await self.enterAsyncContext(fleet)
 
     async def waiting(self):
-        """Return how many calls wait at both owners."""
+        """Return the number of calls queued at both owners."""
         loads = [await self.fleet.operator(host, "/health") for host in self.fleet.settings]
         return sum(load["queued"] for load in loads)
 
     async def running(self):
-        """Return how many calls run at both owners."""
+        """Return the number of calls running at both owners."""
         loads = [await self.fleet.operator(host, "/health") for host in self.fleet.settings]
         return sum(load["in_flight"] for load in loads)
 
     async def test_queued_call_of_a_gone_caller_is_dropped(self):
-        # Six golfers ask, two slots are free; the last one in the queues hangs
-        # up.  Its call must leave the queue of an owner, beside the entry or
-        # on another host, before a slot is free, or a booking runs that nobody
-        # waits for.
+        # Five callers share two slots, and the last one disconnects while its call is
+        # queued at the owner beside the entry or on another host.  The call must leave
+        # the queue before a slot is free; else a booking runs that nobody waits for.
         others = [asyncio.create_task(call(self.fleet, "n0")) for _ in range(4)]
         await self.until(self.running, 2)
         text = f"POST /bookings HTTP/1.1\r\nHost: x\r\n{LEDGER_ID}: left\r\nContent-Length: 0\r\n"
@@ -59,8 +58,8 @@
         self.assertNotIn("left", merged_ledger(await self.fleet.ledgers()))
 
     async def test_running_call_of_a_gone_caller_is_cancelled(self):
-        # A golfer hangs up while a listing runs: the backend server learns of
-        # it by the close of its connection, and the slot is free again.
+        # The caller disconnects while its call runs.  The node must close the
+        # connection to the backend server, which frees the slot.
         await self.fleet.control("n0", slow_factor=1000.0)
         await self.fleet.control("n1", slow_factor=1000.0)
         _, writer = await send_raw(
@@ -79,7 +78,7 @@
 
 
 class TestRequests(unittest.IsolatedAsyncioTestCase):
-    """What the port refuses by itself."""
+    """Requests that the port refuses by itself."""
 
     async def test_request_without_host_is_refused(self):
         fleet = await self.enterAsyncContext(small_fleet(1))
--- a/caperstack/callers/tests/test_waiting.py
+++ b/caperstack/callers/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""Callers who come back are told from those who ask for the first time."""
+"""Tests of the distinction between first tries and retries of callers."""
 
 import random
 import unittest
@@ -7,7 +7,7 @@
 
 
 class TestWaitEstimator(unittest.TestCase):
-    """`WaitEstimator.elapsed_wait`."""
+    """Tests of `WaitEstimator.elapsed_wait`."""
 
     def setUp(self):
         self.estimator = WaitEstimator()
@@ -26,22 +26,22 @@
         self.assertAlmostEqual(self.estimator.elapsed_wait("r", 2.8), 1.195, delta=0.002)
 
     def test_spread_of_first_tries_is_not_taken_for_retries(self):
-        # First tries have 85 to 100 % of the longest time.  None of them has
-        # waited, whether they wait for half a second or for ten.
+        # First tries have 85 to 100 % of the longest timeout.  They must not be taken
+        # for retries, whether the timeout is 0.2 s or 10 s.
         for longest in (0.2, 0.4, 1.5, 4.0, 10.0):
-            told = [longest * self.rng.uniform(0.85, 1.0) for _ in range(2000)]
-            elapsed_wait = [self.estimator.elapsed_wait(str(longest), seconds) for seconds in told]
-            self.assertLess(sum(w > 0 for w in elapsed_wait), 20, longest)
+            times_left = [longest * self.rng.uniform(0.85, 1.0) for _ in range(2000)]
+            waits = [self.estimator.elapsed_wait(str(longest), seconds) for seconds in times_left]
+            self.assertLess(sum(wait > 0 for wait in waits), 20, longest)
 
     def test_retry_with_a_short_deadline_is_recognised(self):
-        # A duty has 0.34 to 0.4 s; one who comes back after a third of that has
-        # too little of its objective left to be in time.
+        # First tries have 0.34 to 0.4 s left.  A retry after a third of that has too
+        # little of its objective left to meet it.
         for _ in range(200):
             self.estimator.elapsed_wait("r", self.rng.uniform(0.34, 0.4))
         self.assertAlmostEqual(self.estimator.elapsed_wait("r", 0.25), 0.12, delta=0.02)
 
     def test_few_callers_with_longer_deadlines_make_no_retries_of_others(self):
-        # One caller in twenty-five waits twice as long as the others.
+        # One caller in 25 has twice the timeout of the others.
         for number in range(600):
             if number % 25 == 0:
                 self.estimator.elapsed_wait("r", 8.0)
@@ -49,7 +49,7 @@
                 self.assertEqual(self.first_try(), 0.0)
 
     def test_retries_are_recognised_when_they_outnumber_first_tries(self):
-        # After an outage two of three requests are returns.
+        # After an outage two of three requests are retries.
         for _ in range(100):
             self.first_try()
         for _ in range(300):
--- a/caperstack/callers/waiting.py
+++ b/caperstack/callers/waiting.py
@@ -1,31 +1,40 @@
-"""How long callers of a route wait in all, and so how long one has waited already."""
+"""Estimate how long retrying callers have waited since their first try."""
 
 import math
 from dataclasses import dataclass
 
 __all__ = ["WaitEstimator"]
 
-#: Times left that differ by less than this factor are told as one class.
+#: Ratio between the upper and lower bound of a bucket of times left.
 BUCKET_RATIO = 1.05
 
-#: A class that holds this share of the calls belongs to first tries, and so do
-#: those next below it that hold as much: callers of one kind differ in patience
-#: by a sixth or so.  Callers who come back have all kinds of time left.
+#: The highest bucket with at least this share of the calls belongs to first tries, and
+#: so do the adjacent lower buckets with at least as many, because the timeouts of callers
+#: of one kind differ by about a sixth.  The times left of retries spread more widely.
 FIRST_TRY_SHARE = 0.1
 
-#: Calls before which nothing is known.
+#: Number of calls of a route before retries are estimated.
 MIN_CALLS = 20
 
-#: Calls after which old ones count half.
+#: Number of calls of a route at which the counts of all buckets are halved, so that
+#: older calls weigh less.
 HALVE_AT_CALLS = 400
 
-#: Routes that are told apart; beyond that they are learnt anew.
+#: Maximum number of routes; when it is exceeded, the counts of all routes are dropped.
 MAX_ROUTES = 500
 
 
 @dataclass(slots=True)
 class _Bucket:
-    """Calls with about the same time left: how many, and the sum of it in seconds."""
+    """Calls with about the same time left.
+
+    Attributes
+    ----------
+    calls : float
+        Number of calls, where older ones count less.
+    seconds : float
+        Sum of their times left, in seconds.
+    """
 
     calls: float = 0.0
     seconds: float = 0.0
@@ -40,19 +49,18 @@
 
 
 class WaitEstimator:
-    """Tell callers who come back from those who ask for the first time.
+    """Distinguish retries from first tries by the time that callers have left.
 
     Notes
     -----
-    Which load it answers: after an outage all callers come back at once, and
-    whoever asks for the first time waits behind them.  A caller's objective
-    counts from its first try, so one who comes back after a refusal can rarely
-    be in time.  How much less time it has left than usual tells how long it
-    has waited already.
+    After an outage all callers retry at once, and first tries queue behind the
+    retries.  A caller's objective counts from its first try, so a retry after a
+    refusal can rarely meet it.  A retry has less time left than the first tries
+    of the same route, and the difference is how long its caller has waited.
 
-    Classes are by ratio, not by seconds.  Failure: with classes of 50 ms first
-    tries with 1.3 to 1.5 s left counted as callers who had waited for up to
-    0.2 of their 0.6 s, and one with 0.2 s left of 0.4 as a first try.
+    Buckets have a constant ratio, not a constant width.  With buckets of 50 ms, first
+    tries with 1.3 to 1.5 s left were taken for retries that had waited for up to 0.2 s
+    of an objective of 0.6 s, and a retry with 0.2 s left of 0.4 s for a first try.
 
     Examples
     --------
@@ -67,39 +75,56 @@
         self._routes = {}
 
     def elapsed_wait(self, route, time_left):
-        """Return how long a caller with `time_left` seconds has waited, in seconds."""
-        classes = self._routes.get(route)
-        if classes is None:
+        """Record a call, and return how long its caller has waited since its first try.
+
+        Parameters
+        ----------
+        route : str
+            Name of the route.
+        time_left : float
+            Seconds for which the caller still waits.
+
+        Returns
+        -------
+        float
+            Seconds; 0 for a first try, or if the route has too few calls.
+        """
+        buckets = self._routes.get(route)
+        if buckets is None:
             if len(self._routes) >= MAX_ROUTES:
                 self._routes.clear()
-            classes = self._routes[route] = {}
-        step = math.floor(math.log(max(time_left, 0.001), BUCKET_RATIO))
-        classes.setdefault(step, _Bucket()).add(time_left)
-        total = sum(one.calls for one in classes.values())
+            buckets = self._routes[route] = {}
+        index = math.floor(math.log(max(time_left, 0.001), BUCKET_RATIO))
+        buckets.setdefault(index, _Bucket()).add(time_left)
+        total = sum(bucket.calls for bucket in buckets.values())
         if total < MIN_CALLS:
             return 0.0
-        first_tries = _first_tries(classes, FIRST_TRY_SHARE * total)
+        first_tries = _first_tries(buckets, FIRST_TRY_SHARE * total)
         if total >= HALVE_AT_CALLS:
-            _halve(classes)
-        if not first_tries or step >= min(first_tries) - 1:
+            _halve(buckets)
+        if not first_tries or index >= min(first_tries) - 1:
             return 0.0
-        usual = sum(classes[s].seconds for s in first_tries)
-        usual /= sum(classes[s].calls for s in first_tries)
-        return round(usual - time_left, 3)
+        mean = sum(buckets[i].seconds for i in first_tries)
+        mean /= sum(buckets[i].calls for i in first_tries)
+        return round(mean - time_left, 3)
+
 
+def _first_tries(buckets, min_calls):
+    """Return the indices of the buckets that belong to first tries, highest first.
 
-def _first_tries(classes, least):
-    """Return the steps of the highest class of at least `least` calls and of those next to it."""
-    steps = []
-    for step in sorted((s for s, one in classes.items() if one.calls >= least), reverse=True):
-        if steps and step < steps[-1] - 1:
+    These are the highest bucket with at least `min_calls` calls and the adjacent lower
+    ones with as many.
+    """
+    indices = []
+    for index in sorted((i for i, b in buckets.items() if b.calls >= min_calls), reverse=True):
+        if indices and index < indices[-1] - 1:
             break
-        steps.append(step)
-    return steps
+        indices.append(index)
+    return indices
 
 
-def _halve(classes):
-    for step in list(classes):
-        classes[step].halve()
-        if classes[step].calls < 1:
-            del classes[step]
+def _halve(buckets):
+    for index in list(buckets):
+        buckets[index].halve()
+        if buckets[index].calls < 1:
+            del buckets[index]
