--- a/caperstack/backend/client.py
+++ b/caperstack/backend/client.py
@@ -103,7 +103,7 @@
         """Call ``on_report(report)`` with the `ServerReport` of each response."""
         self._on_report = on_report
 
-    def move(self, address):
+    def set_address(self, address):
         """Use another address for the backend server from now on."""
         self._address = address
         self._drop_idle()
@@ -227,7 +227,7 @@
 
     def _take_idle(self, at_most_once):
         """Return the usable idle connection that was used last, or ``None``."""
-        self._drop_old()
+        self._drop_unusable()
         while self._idle:
             if not self._reuse.allows(self._idle[-1].idle_since, at_most_once):
                 return None
@@ -237,7 +237,7 @@
             connection.close()
         return None
 
-    def _drop_old(self):
+    def _drop_unusable(self):
         while self._idle and not self._idle[0].usable():
             self._idle.pop(0).close()
 
--- a/caperstack/platform/__main__.py
+++ b/caperstack/platform/__main__.py
@@ -84,7 +84,7 @@
         backend = self._here.backend
         changed = (backend.address, backend.service) != (new.backend.address, new.backend.service)
         if new.backend.address != backend.address:
-            self._kernel.find("backend client").move(new.backend.address)
+            self._kernel.find("backend client").set_address(new.backend.address)
         backend.address = new.backend.address
         backend.service = new.backend.service
         events.belief("reload", cause=cause, outcome="changed" if changed else "same")
