--- a/caperstack/callers/port.py
+++ b/caperstack/callers/port.py
@@ -54,7 +54,7 @@
 
     Parameters
     ----------
-    here
+    here : caperstack.config.start.StartSettings
         Start settings of the node.
     dialect : caperstack.calls.dialect.Dialect, optional
         Header names and conventions of the callers.
