--- a/caperstack/callers/port.py
+++ b/caperstack/callers/port.py
@@ -54,8 +54,8 @@
 
     Parameters
     ----------
-    here : caperstack.config.start.StartSettings
-        Start settings of the node.
+    here : caperstack.config.start.StartSettings or caperstack.config.here.Here
+        Addresses, limits and backend server of the node.
     dialect : caperstack.calls.dialect.Dialect, optional
         Header names and conventions of the callers.
     """
