--- a/caperstack/admission/gate.py
+++ b/caperstack/admission/gate.py
@@ -6,7 +6,7 @@
 from caperstack.admission.knee import Knee
 from caperstack.admission.limit import AdaptiveLimit
 from caperstack.admission.queue import AdmissionQueue
-from caperstack.calls.model import VISIT_SECONDS, NotRun
+from caperstack.calls.model import SLOW_PHASE_LEFT_SECONDS, NotRun
 from caperstack.clock import now, time_left
 
 __all__ = ["SlotGate"]
@@ -150,7 +150,9 @@
             return True
         if not self._slowdown.slowed:
             return False
-        return (self._slowdown.relative - 1) * self._expected_seconds(call) > VISIT_SECONDS
+        return (self._slowdown.relative - 1) * self._expected_seconds(
+            call
+        ) > SLOW_PHASE_LEFT_SECONDS
 
     def _expected_seconds(self, call):
         """Return the expected service time of `call` at the host's baseline, in seconds."""
@@ -244,7 +246,7 @@
         ahead = max(0, before + 1 - free)
         # A call that waits for the first reading has to wait much less than a slow phase.
         slow_phase = free > 0 and not self._slowdown.awaiting_reading
-        wait = VISIT_SECONDS if slow_phase else 0.0
+        wait = SLOW_PHASE_LEFT_SECONDS if slow_phase else 0.0
         wait += ahead * self._times.recent * self._slowdown.baseline / self._limit.limit
         return max(wait, self._cold.wait(before))
 
@@ -266,7 +268,7 @@
                 return
             self._take_slot()
             if len(self._queue):
-                call.started_among = self._running
+                call.running_at_start = self._running
                 self._knee.record_start()
 
     def _wake_after(self, seconds):
@@ -298,7 +300,7 @@
             Whether the learnt concurrency limit changed.
         """
         before = self._knee.limit
-        if call.started_among:
-            self._knee.record_time(call.started_among, min(ratio, MAX_TIME_RATIO))
+        if call.running_at_start:
+            self._knee.record_time(call.running_at_start, min(ratio, MAX_TIME_RATIO))
             self._limit.resize(self._knee.limit)
         return self._knee.limit != before
--- a/caperstack/admission/limit.py
+++ b/caperstack/admission/limit.py
@@ -3,7 +3,7 @@
 import math
 
 from caperstack.averages import TimeWeightedAverage
-from caperstack.calls.model import guessed_seconds
+from caperstack.calls.model import initial_estimate_seconds
 from caperstack.clock import deadline_after, now
 
 __all__ = ["AdaptiveLimit", "CircuitBreaker", "ServiceTimes"]
@@ -147,7 +147,7 @@
 
     def seed(self, call):
         """Adjust the baseline to the estimate for `call`, until the first answer."""
-        estimate = guessed_seconds(call)
+        estimate = initial_estimate_seconds(call)
         if self.known or not estimate:
             return
         weight = ESTIMATE_WEIGHT if self._seeded else 1.0
@@ -159,7 +159,7 @@
         average = self._routes.get(call.route)
         if average is not None:
             return average.value
-        return guessed_seconds(call) or self._baseline
+        return initial_estimate_seconds(call) or self._baseline
 
     @property
     def median_slot_seconds(self):
--- a/caperstack/admission/status.py
+++ b/caperstack/admission/status.py
@@ -7,7 +7,7 @@
 
 #: Reasons for the refusal of new calls, by closed state.
 CLOSED_REASONS = {
-    ServerState.LEAVING: "backend server is leaving",
+    ServerState.DRAINING: "backend server is leaving",
     ServerState.DOWN: "backend server is down",
     ServerState.EVACUATED: "zone is evacuated",
     ServerState.STOPPING: "node stops",
@@ -116,7 +116,7 @@
         if self.node_leaves:
             return self._state
         if not self._listed:
-            return ServerState.LEAVING
+            return ServerState.DRAINING
         if self._evacuated:
             return ServerState.EVACUATED
         return ServerState.DOWN if self._ended else self._health
--- a/caperstack/backend/connection.py
+++ b/caperstack/backend/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend server, on tornado's HTTP/1.1 client connection."""
+"""A connection to a backend server, based on tornado's HTTP/1.1 connection."""
 
 import asyncio
 import socket
@@ -16,12 +16,12 @@
 
 MAX_HEADER_BYTES = 64 * 1024
 
-#: Answers to earlier requests that are skipped before the connection is given up.
-FOREIGN_ANSWERS_MOST = 4
+#: Number of responses to earlier requests after which the connection is given up.
+MAX_STALE_ANSWERS = 4
 
-#: How long an idle connection is used again if the backend server does not say
-#: how long it keeps one, and how much sooner than it says, in seconds: its
-#: close may be on the way already.
+#: Time for which an idle connection may be reused if the backend server sends no
+#: ``Keep-Alive`` timeout, and margin subtracted from such a timeout, in seconds.  The
+#: margin is needed because the server's close may already be on its way.
 IDLE_SECONDS = 5.0
 IDLE_MARGIN_SECONDS = 1.0
 
@@ -29,38 +29,38 @@
 
 
 class _Stream(IOStream):
-    """An `IOStream` that knows how many bytes were read and not asked for."""
+    """An `IOStream` that counts bytes received from the socket but not consumed."""
 
     def __init__(self, *arguments, **options):
-        self._taken = 0
-        self._wanted = 0
+        self._received = 0
+        self._consumed = 0
         super().__init__(*arguments, **options)
 
     @property
     def surplus(self):
-        """Bytes that lie in the buffer beyond what was read from it."""
-        return self._taken - self._wanted
+        """Number of received bytes that no read has consumed."""
+        return self._received - self._consumed
 
     def read_from_fd(self, buf):
-        """Read and count."""
+        """Read from the socket, and count the bytes received."""
         count = super().read_from_fd(buf)
-        self._taken += count or 0
+        self._received += count or 0
         return count
 
     def read_until_regex(self, regex, max_bytes=None):
-        """Read up to a match, and count."""
+        """Read up to a match, and count the bytes consumed."""
         return self._counted(super().read_until_regex(regex, max_bytes))
 
     def read_until(self, delimiter, max_bytes=None):
-        """Read up to a delimiter, and count."""
+        """Read up to a delimiter, and count the bytes consumed."""
         return self._counted(super().read_until(delimiter, max_bytes))
 
     def read_bytes(self, num_bytes, partial=False):
-        """Read so many bytes, and count."""
+        """Read `num_bytes` bytes, and count the bytes consumed."""
         return self._counted(super().read_bytes(num_bytes, partial))
 
     def read_until_close(self):
-        """Read to the end, and count."""
+        """Read until the connection closes, and count the bytes consumed."""
         return self._counted(super().read_until_close())
 
     def _counted(self, future):
@@ -69,97 +69,97 @@
 
     def _count(self, future):
         if not future.cancelled() and future.exception() is None:
-            self._wanted += len(future.result())
+            self._consumed += len(future.result())
 
 
 class _Collector(HTTPMessageDelegate):
-    """Collects one answer, or recognises that it belongs to an earlier request."""
+    """Collect one response, or detect that it belongs to an earlier request."""
 
-    def __init__(self, request_id, dialect, answer_bytes, head_only, on_report):
+    def __init__(self, request_id, dialect, max_answer_bytes, head_only, on_report):
         self._request_id = request_id
         self._dialect = dialect
-        self._answer_bytes = answer_bytes
+        self._max_answer_bytes = max_answer_bytes
         self._head_only = head_only
         self._on_report = on_report
         self._parts = []
         self._size = 0
         self.start = None
         self.headers = None
-        self.foreign = False
+        self.stale = False
         self.too_large = False
         self.framed = False
-        self.whole = False
+        self.complete = False
 
     def headers_received(self, start_line, headers):
-        """Note the head; the load that it tells is news already."""
+        """Store the head, and report the server's load without waiting for the body."""
         self.start = start_line
         self.headers = headers
         echoed = headers.get(self._dialect.request_id)
-        self.foreign = echoed is not None and echoed != self._request_id
+        self.stale = echoed is not None and echoed != self._request_id
         self.framed = "Content-Length" in headers or "Transfer-Encoding" in headers
         report = ServerReport.read(headers, self._dialect)
         if report is not None:
             self._on_report(report)
 
     def data_received(self, chunk):
-        """Collect a part of the body within the bound."""
+        """Collect a part of the body, up to the size limit."""
         self._size += len(chunk)
-        if self._size > self._answer_bytes:
+        if self._size > self._max_answer_bytes:
             self.too_large = True
         else:
             self._parts.append(chunk)
 
     def finish(self):
-        """The answer is whole, as far as its framing tells."""
-        self.whole = True
+        """Mark the response as complete according to its framing."""
+        self.complete = True
 
     def on_connection_close(self):
-        """The connection closed before the end."""
+        """Do nothing; an incomplete response is detected by `complete`."""
 
     @property
     def has_body(self):
-        """Whether an answer of this kind carries a body."""
+        """Whether a response to this request with this status has a body."""
         return not self._head_only and self.start.code not in (204, 304)
 
     def answer(self):
-        """Return the `Answered`."""
+        """Return the response as an `Answered` outcome."""
         headers = list(self.headers.get_all())
         return Answered(self.start.code, self.start.reason, headers, b"".join(self._parts))
 
 
 class BackendConnection:
-    """A connection that carries one request after the other.
+    """A connection that carries one request at a time.
 
     Parameters
     ----------
     address : (str, int)
-        The backend server's IP and port.
+        IP address and port of the backend server.
     dialect : caperstack.calls.dialect.Dialect
-        The header names.
-    answer_bytes : int
-        The longest answer that is taken.
+        Header names and conventions of the backend server.
+    max_answer_bytes : int
+        Maximum size of a response body, in bytes.
     on_report : callable
-        Called with the `ServerReport` of each answer, when its head is read.
+        Called with the `ServerReport` of each response, as soon as its head is read.
     """
 
-    def __init__(self, address, dialect, answer_bytes, on_report):
+    def __init__(self, address, dialect, max_answer_bytes, on_report):
         self._address = address
         self._dialect = dialect
-        self._answer_bytes = answer_bytes
+        self._max_answer_bytes = max_answer_bytes
         self._on_report = on_report
         self._stream = None
-        self._keeps = True
+        self._reusable = True
         self._idle_until = 0.0
         self.idle_since = 0.0
         self.requests = 0
 
     async def open(self, deadline):
-        """Connect.
+        """Open the connection.
 
         Raises
         ------
         BackendError
-            With ``sent`` false, if there is no connection by `deadline`.
+            If the connection is not open by `deadline`; ``sent`` is false.
         """
         sock = socket.socket()
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -183,16 +183,16 @@
         return f"{self._address[0]}:{self._address[1]}"
 
     def usable(self):
-        """Return whether the idle connection can carry a further request.
+        """Return whether the idle connection can carry another request.
 
         Notes
         -----
-        Failure: the backend server closed the idle connection, or sent bytes
-        that no request asked for.  The request would be lost, or get another's
-        answer.  A look at the socket just before sending shows both; a close
-        that crosses the request on the wire remains unknown.
+        If the backend server has closed the idle connection, a request on it would
+        be lost; if it has sent unsolicited bytes, the request would get the response
+        to another one.  Peeking at the socket just before sending detects both.  A
+        close that crosses the request on the wire is not detected.
         """
-        if not self._keeps or now() > self._idle_until or self._stream.closed():
+        if not self._reusable or now() > self._idle_until or self._stream.closed():
             return False
         if self._stream.surplus:
             return False
@@ -204,12 +204,12 @@
             return False
 
     async def exchange(self, method, target, headers, body, request_id):
-        """Send a request and return its whole `Answered`.
+        """Send a request and return the complete response as `Answered`.
 
         Raises
         ------
         BackendError
-            With ``sent`` true, if there was no whole answer to this request.
+            If there was no complete response to this request; ``sent`` is true.
         """
         self.requests += 1
         http = self._http()
@@ -217,76 +217,82 @@
             RequestStartLine(method, target, "HTTP/1.1"), _header_block(method, headers, body), body
         )
         http.finish()
-        for _ in range(FOREIGN_ANSWERS_MOST):
+        for _ in range(MAX_STALE_ANSWERS):
             collector = await self._collect(http, method, request_id)
-            if not collector.foreign:
-                return self._checked(collector)
-            # An extra answer to a request that ended long ago lies before ours.
+            if not collector.stale:
+                return self._accept(collector)
+            # A surplus response to an earlier request precedes this one's.
             http = self._http()
             http.finish()
         raise BackendError("answers of other requests", step="answer", peer=self._peer)
 
     def _http(self):
         parameters = HTTP1ConnectionParameters(
-            max_header_size=MAX_HEADER_BYTES, max_body_size=self._answer_bytes
+            max_header_size=MAX_HEADER_BYTES, max_body_size=self._max_answer_bytes
         )
         return HTTP1Connection(self._stream, True, parameters)
 
     async def _collect(self, http, method, request_id):
         collector = _Collector(
-            request_id, self._dialect, self._answer_bytes, method == "HEAD", self._on_report
+            request_id, self._dialect, self._max_answer_bytes, method == "HEAD", self._on_report
         )
         try:
-            open_still = await http.read_response(collector)
+            still_open = await http.read_response(collector)
         except StreamClosedError:
-            open_still = False
+            still_open = False
         if collector.too_large or self._declared_too_large(collector):
             raise BackendError("answer is too large", step="answer", peer=self._peer)
-        if not collector.whole:
+        if not collector.complete:
             raise BackendError(
                 "connection closed",
                 step="answer",
                 peer=self._peer,
                 unheard=collector.start is None,
             )
-        self._keeps = self._keeps and open_still and not self._stream.closed()
+        self._reusable = self._reusable and still_open and not self._stream.closed()
         return collector
 
     def _declared_too_large(self, collector):
         if collector.headers is None or not collector.has_body:
             return False
         declared = collector.headers.get("Content-Length", "")
-        return declared.isdigit() and int(declared) > self._answer_bytes
+        return declared.isdigit() and int(declared) > self._max_answer_bytes
 
-    def _checked(self, collector):
+    def _accept(self, collector):
         if collector.has_body and not collector.framed:
             self._check_unframed()
         headers = collector.headers
         if headers.get("Connection", "").lower() == "close":
-            self._keeps = False
+            self._reusable = False
         self._idle_until = deadline_after(_idle_seconds(headers.get("Keep-Alive", "")))
         self.idle_since = now()
         return collector.answer()
 
     def _check_unframed(self):
-        # Failure: the end of such an answer is the close of its connection,
-        # and a server that dies in the middle would look the same as one that
-        # finished.  A reset shows as an error; where a clean close means a
-        # whole answer, the dialect says so.
-        self._keeps = False
+        # A response without a length ends when its connection closes, so that a
+        # server that crashes midway looks like one that finished.  Only a reset
+        # shows as an error.  The dialect tells whether a clean close means that the
+        # response is complete.
+        self._reusable = False
         if not self._dialect.ends_with_connection:
             raise BackendError("answer without a length", step="answer", peer=self._peer)
         if self._stream.error is not None:
             raise BackendError("connection reset", step="answer", peer=self._peer)
 
     def close(self):
-        """Close it; a backend server takes this as a sign that nobody waits."""
+        """Close the connection, which tells the backend server that nobody waits."""
         if self._stream is not None:
             self._stream.close()
 
 
 def _idle_seconds(keep_alive):
-    """Return how long the connection may idle, from a ``Keep-Alive`` header."""
+    """Return for how many seconds an idle connection may be reused.
+
+    Parameters
+    ----------
+    keep_alive : str
+        Value of the ``Keep-Alive`` header, or empty.
+    """
     for part in keep_alive.split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
--- a/caperstack/backend/tests/test_client.py
+++ b/caperstack/backend/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The leg against a backend server that misbehaves on kept-alive connections."""
+"""Tests of `BackendClient` against servers that misbehave on keep-alive connections."""
 
 import asyncio
 import socket
@@ -30,12 +30,16 @@
 
 
 class ScriptedServer:
-    """A server that answers the n-th request with the n-th reply, then closes."""
+    """Answer the n-th request with the n-th reply.
+
+    The connection is closed after a reply that does not end with "ok", and if no reply
+    is left.  For the reply ``None`` the server sends nothing until the client disconnects.
+    """
 
     def __init__(self, *replies):
         self._replies = list(replies)
         self.requests = 0
-        self.hangups = 0
+        self.disconnects = 0
         self._writers = []
         self.address = free_addresses(1)[0]
 
@@ -43,8 +47,8 @@
         ip, port = split_address(self.address)
         self._server = await asyncio.start_server(self._accept, ip, port)
 
-    def hang_up(self):
-        """Close the open connections, and wait until the close is out."""
+    def close_connections(self):
+        """Shut down the open connections."""
         for writer in self._writers:
             writer.get_extra_info("socket").shutdown(socket.SHUT_RDWR)
 
@@ -56,7 +60,7 @@
                 reply = self._replies.pop(0) if self._replies else b""
                 if reply is None:
                     await reader.read()
-                    self.hangups += 1
+                    self.disconnects += 1
                     return
                 writer.write(reply)
                 if not reply.endswith(b"ok"):
@@ -68,7 +72,7 @@
 
 
 class TestBackendClient(unittest.IsolatedAsyncioTestCase):
-    """`BackendClient.fetch`."""
+    """Tests of `BackendClient.fetch`."""
 
     async def client_for(self, *replies):
         self.server = ScriptedServer(*replies)
@@ -82,11 +86,10 @@
             await client.fetch(call)
         return caught.exception
 
-    async def test_sweep_is_not_repeated_on_a_dead_connection(self):
-        # A treasurer's sweep reaches the backend server over a kept-alive
-        # connection; the server runs it and dies without a byte of answer.
-        # An HTTP library that sends any request again on a fresh connection,
-        # since the old one "may have timed out", would run the sweep twice.
+    async def test_non_idempotent_request_is_not_resent_after_connection_loss(self):
+        # The backend server runs a request from a keep-alive connection and crashes
+        # before it responds.  An HTTP library that resends requests on a new
+        # connection, assuming an idle timeout, would run the request twice.
         for body in (b"", b"sweep"):
             client = await self.client_for(GOOD, b"", GOOD)
             await client.fetch(make_call())
@@ -94,10 +97,10 @@
             self.assertTrue(error.sent)
             self.assertEqual(self.server.requests, 2)
 
-    async def test_listing_is_not_repeated_here(self):
-        # The backend server runs a listing and dies before it answers.  A
-        # repeat on this leg would be outside the budget that all entries
-        # share; it is told that the listing was sent, and the entry decides.
+    async def test_idempotent_request_is_not_resent_by_the_client(self):
+        # The backend server crashes while it runs an idempotent request.  If the
+        # client resent it, the retry would bypass the retry budget of the entries.
+        # It reports that the request was sent, and the entry decides.
         client = await self.client_for(GOOD, b"", GOOD)
         await client.fetch(make_call("GET", True))
         error = await self.failure(client, make_call("GET", True))
@@ -105,35 +108,36 @@
         self.assertEqual(self.server.requests, 2)
 
     async def test_idle_connection_closed_by_the_server_is_not_used(self):
-        # A treasurer sends a sweep just after the backend server closed its
-        # idle connections, and is told "unknown" though nothing arrived: the
-        # leg had not noticed the close and sent into the dead connection.
+        # The backend server closes an idle connection.  If the client does not
+        # notice and sends a non-idempotent request on it, the request ends as
+        # "unknown" although it never arrived.
         client = await self.client_for(GOOD, GOOD)
         await client.fetch(make_call())
-        self.server.hang_up()
+        self.server.close_connections()
         answer = await client.fetch(make_call(body=b"sweep"))
         self.assertEqual((answer.status, self.server.requests), (200, 2))
 
-    async def test_server_that_forgets_idle_connections_is_believed(self):
-        # A backend server forgets connections that rest.  The first listing
-        # that is sent on one is lost; the next booking, though its connection
-        # rested as briefly, goes out on a new one and is answered.
+    async def test_request_lost_on_an_idle_connection_shortens_reuse(self):
+        # The backend server silently drops idle connections.  After the first lost
+        # request, a non-idempotent request after a shorter idle time must use a new
+        # connection.
         client = await self.client_for(GOOD, b"", GOOD, GOOD)
         await client.fetch(make_call("GET", True))
-        rested_since = now()
+        idle_since = now()
         await asyncio.sleep(0.12)
         self.assertTrue((await self.failure(client, make_call("GET", True))).unheard)
-        rested = now() - rested_since
+        idle_seconds = now() - idle_since
         await client.fetch(make_call())
         opened = client.opened
-        # Shorter than the first rest, but longer than the half of it that is trusted.
-        await asyncio.sleep(0.75 * rested)
+        # Shorter than the first idle time, but longer than the half up to which
+        # connections are reused.
+        await asyncio.sleep(0.75 * idle_seconds)
         await client.fetch(make_call())
         self.assertEqual(client.opened, opened + 1)
 
-    async def test_restart_ends_what_runs_and_keeps_no_connection(self):
-        # The backend server has started anew: what ran in its former run gets
-        # no answer any more, and may have run.
+    async def test_restart_fails_running_requests_and_drops_connections(self):
+        # Requests from before a restart of the backend server get no response any
+        # more, and may have run.
         client = await self.client_for(GOOD, None, GOOD)
         await client.fetch(make_call())
         running = asyncio.create_task(client.fetch(make_call()))
@@ -147,20 +151,20 @@
         await client.fetch(make_call())
         self.assertEqual(client.opened, opened + 1)
 
-    async def test_refused_connection_is_proof(self):
+    async def test_refused_connection_counts_as_not_sent(self):
         client = BackendClient(free_addresses(1)[0], 10, 1024)
         self.addAsyncCleanup(client.stop)
         self.assertFalse((await self.failure(client, make_call())).sent)
 
-    async def test_death_in_the_middle_of_an_answer(self):
+    async def test_truncated_answer_counts_as_sent(self):
         client = await self.client_for(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
         self.assertTrue((await self.failure(client, make_call())).sent)
 
-    async def test_answer_without_a_length_may_be_a_part(self):
+    async def test_answer_without_a_length_is_rejected(self):
         client = await self.client_for(b"HTTP/1.1 200 OK\r\n\r\nmaybe half")
         self.assertIn("length", (await self.failure(client, make_call())).message)
 
-    async def test_answer_beyond_the_bound(self):
+    async def test_answer_above_the_size_limit_is_rejected(self):
         reply = b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n" + bytes(5000)
         client = await self.client_for(reply)
         self.assertIn("large", (await self.failure(client, make_call())).message)
@@ -170,12 +174,12 @@
         error = await self.failure(client, make_call(seconds=0.2))
         self.assertEqual((error.message, error.sent), ("deadline passed", True))
 
-    async def test_cancelling_hangs_up(self):
+    async def test_cancelling_closes_the_connection(self):
         client = await self.client_for(None)
         task = asyncio.create_task(client.fetch(make_call()))
         while not self.server.requests:
             await asyncio.sleep(0.01)
         task.cancel()
-        while not self.server.hangups:
+        while not self.server.disconnects:
             await asyncio.sleep(0.01)
         self.assertEqual(client.in_flight, 0)
--- a/caperstack/backend/tests/test_pace.py
+++ b/caperstack/backend/tests/test_probe.py
@@ -1,11 +1,11 @@
-"""How often a backend server is asked for the pace of its host."""
+"""Tests of the rate at which a backend server is probed."""
 
 import asyncio
 import unittest
 from types import SimpleNamespace
 
 from caperstack.backend.client import ServerHealth
-from caperstack.backend.pace import PaceProbe
+from caperstack.backend.probe import HealthProbe
 from caperstack.calls.dialect import ServerReport
 from caperstack.play.virtual import run_virtual
 
@@ -13,7 +13,7 @@
 
 
 class FakeServer:
-    """Answers probes, and tells the pace with them and with answers to calls."""
+    """Report the load in responses to probes and to calls."""
 
     def __init__(self):
         self.probes = 0
@@ -34,11 +34,11 @@
             self._on_report(REPORT)
 
 
-class TestPaceProbe(unittest.TestCase):
-    """`PaceProbe` in virtual time, at ten probes a second."""
+class TestHealthProbe(unittest.TestCase):
+    """Tests of `HealthProbe` in virtual time, at ten probes per second."""
 
-    def play(self, work):
-        async def played():
+    def count_probes(self, work):
+        async def run():
             server = FakeServer()
             owner = SimpleNamespace(
                 node_leaves=False,
@@ -55,32 +55,32 @@
                 "events": None,
                 "metrics": SimpleNamespace(count=lambda *_, **__: None),
             }
-            probe = PaceProbe(lambda: "/health", lambda: 10.0)
+            probe = HealthProbe(lambda: "/health", lambda: 10.0)
             await probe.start(SimpleNamespace(find=services.__getitem__))
             await work(server)
             await probe.stop()
             return server.probes
 
-        return run_virtual(played)
+        return run_virtual(run)
 
-    def test_idle_server_is_asked_at_the_rate(self):
-        self.assertAlmostEqual(self.play(lambda _: asyncio.sleep(10.0)), 100, delta=4)
+    def test_idle_server_is_probed_at_the_configured_rate(self):
+        self.assertAlmostEqual(self.count_probes(lambda _: asyncio.sleep(10.0)), 100, delta=4)
 
-    def test_answers_take_the_place_of_questions(self):
-        # Fifty answers a second tell all that questions would: from 100
-        # questions in ten seconds to the ten that show the server's health.
-        probes = self.play(lambda server: server.answer_calls(10.0, 0.02))
+    def test_load_reports_replace_probes(self):
+        # With 50 load reports per second, only the ten probes that check the server's
+        # health are left of 100 in ten seconds.
+        probes = self.count_probes(lambda server: server.answer_calls(10.0, 0.02))
         self.assertLessEqual(probes, 12)
         self.assertGreaterEqual(probes, 9)
 
-    def test_questions_go_on_when_answers_stop(self):
+    def test_probing_resumes_when_load_reports_stop(self):
         async def work(server):
             await server.answer_calls(5.0, 0.02)
             before = server.probes
             await asyncio.sleep(2.0)
             self.assertGreaterEqual(server.probes - before, 18)
 
-        self.play(work)
+        self.count_probes(work)
 
 
 if __name__ == "__main__":
--- a/caperstack/calls/responses.py
+++ b/caperstack/calls/responses.py
@@ -1,4 +1,4 @@
-"""What a caller is told: status, headers and body for each outcome."""
+"""Build the response to a caller from the outcome of its call."""
 
 import json
 import math
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """A response to a caller."""
+    """An HTTP response to a caller."""
 
     status: int
     reason: str
@@ -24,8 +24,8 @@
 
 @singledispatch
 def outcome_name(outcome):
-    """Return the outcome's name as the `OUTCOME` header gives it."""
-    raise TypeError(f"no such outcome: {outcome!r}")
+    """Return the name of `outcome` in the `OUTCOME` header."""
+    raise TypeError(f"unsupported outcome type: {outcome!r}")
 
 
 @outcome_name.register
@@ -44,50 +44,59 @@
 
 
 @singledispatch
-def response_to(outcome, fractions=False):
-    """Return the `Response` that tells `outcome` to a caller.
+def response_to(outcome, fractional_seconds=False):
+    """Return the `Response` that reports `outcome` to a caller.
 
     Parameters
     ----------
     outcome : caperstack.calls.model.Outcome
-        How the call ended.
-    fractions : bool
-        Whether callers read fractions of a second in ``Retry-After``.
+        Outcome of the call.
+    fractional_seconds : bool
+        Whether callers accept fractions of a second in ``Retry-After``.
+
+    Raises
+    ------
+    TypeError
+        If `outcome` is of no known type.
     """
-    raise TypeError(f"no such outcome: {outcome!r}")
+    raise TypeError(f"unsupported outcome type: {outcome!r}")
 
 
 @response_to.register
-def _(outcome: Answered, fractions=False):
+def _(outcome: Answered, fractional_seconds=False):
     headers = end_to_end(outcome.headers)
     headers.append((OUTCOME, "answered"))
     return Response(outcome.status, outcome.reason, headers, outcome.body)
 
 
 @response_to.register
-def _(outcome: NotRun, fractions=False):
+def _(outcome: NotRun, fractional_seconds=False):
     headers = []
     if outcome.status in (429, 503):
-        headers.append(("Retry-After", _retry_after(outcome.retry_after, fractions)))
-    return _told(outcome, headers)
+        headers.append(("Retry-After", _retry_after(outcome.retry_after, fractional_seconds)))
+    return _json_response(outcome, headers)
 
 
 @response_to.register
-def _(outcome: Unknown, fractions=False):
-    return _told(outcome, [])
+def _(outcome: Unknown, fractional_seconds=False):
+    return _json_response(outcome, [])
 
 
-def _retry_after(seconds, fractions):
-    """Return the header's text; the standard knows whole seconds only, so one is the least.
+def _retry_after(seconds, fractional_seconds):
+    """Return the value of ``Retry-After``, rounded up to whole seconds as in the standard.
+
+    Notes
+    -----
+    The minimum is one second, or 0.05 s with fractional seconds.
 
     References
     ----------
     .. [1] RFC 9110, section 10.2.3.
     """
-    return f"{max(0.05, seconds):.2f}" if fractions else str(max(1, math.ceil(seconds)))
+    return f"{max(0.05, seconds):.2f}" if fractional_seconds else str(max(1, math.ceil(seconds)))
 
 
-def _told(outcome, headers):
+def _json_response(outcome, headers):
     name = outcome_name(outcome)
     body = json.dumps({"outcome": name, "reason": outcome.reason}).encode() + b"\n"
     headers += [
--- a/caperstack/membership/members.py
+++ b/caperstack/membership/members.py
@@ -79,7 +79,7 @@
         backend server that drains while its node keeps running may return to
         service; there the latest state reported by the owner decides.
         """
-        drains = self.estimate.state in (ServerState.LEAVING, ServerState.EVACUATED)
+        drains = self.estimate.state in (ServerState.DRAINING, ServerState.EVACUATED)
         return drains or self.listed_leaving or self.leaving_incarnation >= max(self.incarnation, 0)
 
 
--- a/caperstack/membership/tests/test_members.py
+++ b/caperstack/membership/tests/test_members.py
@@ -59,7 +59,7 @@
         member.estimate.begin()
         for _ in range(20):
             member.estimate.record_result(True)
-        member.estimate.update_load(Load(state=ServerState.LEAVING))
+        member.estimate.update_load(Load(state=ServerState.DRAINING))
         members.apply_host_list([entry("x", instance="i@1", leaving=True)])
         self.assertTrue(member.estimate.ejected)
         members.apply_host_list([entry("x", instance="i@2")])
@@ -71,7 +71,7 @@
         members = make_members()
         members.apply_host_list([entry("x")])
         estimate = members.find("x").estimate
-        estimate.update_load(Load(state=ServerState.LEAVING))
+        estimate.update_load(Load(state=ServerState.DRAINING))
         self.assertTrue(members.find("x").leaving)
         estimate.update_load(Load(state=ServerState.WARM))
         self.assertFalse(members.find("x").leaving)
--- a/caperstack/node/drain.py
+++ b/caperstack/node/drain.py
@@ -65,7 +65,7 @@
     await _sleep_until(plan.close_at)
     callers.stop_listening()
     while now() < plan.end_at:
-        connections = callers.close_quiet(CONNECTION_IDLE_SECONDS)
+        connections = callers.close_idle(CONNECTION_IDLE_SECONDS)
         busy = connections or peers.calls or not owner.idle
         if not busy and now() >= notice_end:
             break
--- a/caperstack/peers/tests/test_port.py
+++ b/caperstack/peers/tests/test_port.py
@@ -27,7 +27,7 @@
 
     def setUp(self):
         self.port = PeerPort(None, None)
-        self.owner = self.port._owner = SimpleNamespace(load=Load(state=ServerState.LEAVING))
+        self.owner = self.port._owner = SimpleNamespace(load=Load(state=ServerState.DRAINING))
         self.caller = FakeConnection(now())
         self.other = FakeConnection(now() - 2 * CALLS_SECONDS)
         self.port._connections = {self.caller: True, self.other: True}
@@ -41,7 +41,7 @@
         # A server was removed from the host list and is listed again.  An entry that
         # took it for leaving has not called it for seconds and would keep avoiding it.
         self.push(state=ServerState.WARM)
-        self.assertEqual(self.other.sent, [ServerState.LEAVING, ServerState.WARM])
+        self.assertEqual(self.other.sent, [ServerState.DRAINING, ServerState.WARM])
 
     def test_changed_slowdown_is_sent_only_to_entries_that_call(self):
         self.push(pace=400)
--- a/caperstack/quarantine/crash.py
+++ b/caperstack/quarantine/crash.py
@@ -171,7 +171,7 @@
 
     @property
     def _is_leaving(self):
-        return self._standing.state in (ServerState.LEAVING, ServerState.STOPPING)
+        return self._standing.state in (ServerState.DRAINING, ServerState.STOPPING)
 
     def on_server_restart(self):
         """Handle a listed restart of the server: calls of the previous run ended with it."""
--- a/caperstack/quarantine/tests/test_crash.py
+++ b/caperstack/quarantine/tests/test_crash.py
@@ -71,7 +71,7 @@
         self.assertEqual(self.crashed_calls(), [[1, 3]])
 
     async def test_exit_of_a_leaving_server_is_no_crash(self):
-        self.standing.state = ServerState.LEAVING
+        self.standing.state = ServerState.DRAINING
         lost = call(1)
         self.detector.begin(lost)
         self.assertIsNone(await self.detector.lost(lost))
--- a/caperstack/routing/estimates.py
+++ b/caperstack/routing/estimates.py
@@ -1,6 +1,6 @@
 """An entry's estimate of the load and health of each backend server."""
 
-from caperstack.calls.model import SLOWED_PACE, VISIT_SECONDS, Load, ServerState
+from caperstack.calls.model import SLOW_PHASE_LEFT_SECONDS, SLOWED_PACE, Load, ServerState
 from caperstack.clock import deadline_after, now
 
 __all__ = ["Estimate"]
@@ -152,7 +152,7 @@
         usable = max(0.05, 1.0 - self.failing)
         service = self._service_seconds(baseline)
         penalty = OCCUPANCY_PENALTY * min(1.0, occupancy)
-        delay = VISIT_SECONDS if self.slowed else 0.0
+        delay = SLOW_PHASE_LEFT_SECONDS if self.slowed else 0.0
         if self.state == ServerState.COLD:
             delay += COLD_PENALTY_FACTOR * baseline
         return delay + service * (max(1.0, occupancy) + penalty) / usable**2
--- a/caperstack/routing/service.py
+++ b/caperstack/routing/service.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from caperstack.averages import TimeWeightedAverage
-from caperstack.calls.model import guessed_seconds
+from caperstack.calls.model import initial_estimate_seconds
 from caperstack.clock import now
 from caperstack.routing.budgets import CallBudget
 from caperstack.routing.policies import policy_named
@@ -93,7 +93,7 @@
 
     def assume_duration(self, call):
         """Use the estimated work of `call` as the baseline until the first answer."""
-        guess = guessed_seconds(call)
+        guess = initial_estimate_seconds(call)
         if guess:
             self._baseline.set_initial(guess)
 
