--- a/caperstack/bench/proxy.py
+++ b/caperstack/bench/proxy.py
@@ -9,7 +9,7 @@
 from caperstack.peers.frames import FrameDecoder, encode_frame
 from caperstack.peers.messages import Hello
 
-__all__ = ["FaultProxy", "Faults"]
+__all__ = ["FaultProxy", "FrameFaults"]
 
 READ_BYTES = 64 * 1024
 
@@ -18,7 +18,7 @@
 
 
 @dataclass
-class Faults:
+class FrameFaults:
     """What happens to the frames of one direction.
 
     Attributes
@@ -41,7 +41,7 @@
     kinds: tuple = ()
     injected: dict = field(default_factory=dict)
 
-    def chance(self, name, message, rng):
+    def should_inject(self, name, message, rng):
         """Return whether fault `name` strikes `message`, and count it."""
         share = getattr(self, name)
         if not share or isinstance(message, Hello):
@@ -55,7 +55,7 @@
 
 
 class FaultProxy:
-    """Forward connections to `target` through two `Faults`.
+    """Forward connections to `target` through two `FrameFaults`.
 
     Parameters
     ----------
@@ -78,8 +78,8 @@
         self._server = None
         self._writers = set()
         self.address = free_addresses(1)[0]
-        self.calls = Faults()
-        self.answers = Faults()
+        self.calls = FrameFaults()
+        self.answers = FrameFaults()
 
     async def start(self):
         """Listen."""
@@ -127,16 +127,16 @@
                     await asyncio.sleep(0.01)
                 if faults.delay_seconds:
                     await asyncio.sleep(faults.delay_seconds)
-                if faults.chance("lose", message, self._random):
+                if faults.should_inject("lose", message, self._random):
                     continue
                 frame = encode_frame(message, body)
-                if kept is None and faults.chance("reorder", message, self._random):
+                if kept is None and faults.should_inject("reorder", message, self._random):
                     kept = frame
                     asyncio.get_running_loop().call_later(REORDER_SECONDS, _write, writer, frame)
                     continue
                 kept = None
                 _write(writer, frame)
-                if faults.chance("duplicate", message, self._random):
+                if faults.should_inject("duplicate", message, self._random):
                     _write(writer, frame)
             await writer.drain()
         # One side closed: the other learns at once.
--- a/caperstack/bench/torture.py
+++ b/caperstack/bench/torture.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from caperstack.bench.faults import FAULTS, Arena
+from caperstack.bench.faults import FAULTS, FaultContext
 from caperstack.bench.scenario import SUBTREES, ProxiedFleet
 from caperstack.clock import now
 from caperstack.load.generator import Senders
@@ -31,71 +31,73 @@
 ]
 
 #: A caller repeats a booking under its key so often, until it is answered.
-TRIES = 4
-TRY_AGAIN_SECONDS = 0.4
+MAX_ATTEMPTS = 4
+RETRY_DELAY_SECONDS = 0.4
 
 #: A run may start this much after the caller's deadline: scheduling of this machine.
 LATE_SLACK_SECONDS = 0.3
 
 #: Faults at once, so that they meet.
-FAULT_LANES = 2
+CONCURRENT_FAULTS = 2
 
 
 @dataclass
-class _Booking:
+class _CallRecord:
     """A planned call and the results of all its tries."""
 
     planned: object
     tries: list = field(default_factory=list)
-    begun: list = field(default_factory=list)
+    started: list = field(default_factory=list)
     ended: list = field(default_factory=list)
 
 
-async def _persist(planned, senders, start, addresses, rng):
-    """Send a call, and again under its key until it is answered; return a `_Booking`."""
-    booking = _Booking(planned)
+async def _send_with_retries(planned, senders, start, addresses, rng):
+    """Send a call, and again under its key until it is answered; return a `_CallRecord`."""
+    record = _CallRecord(planned)
     due = planned.due
-    for number in range(TRIES):
-        booking.begun.append(time.time())
+    for number in range(MAX_ATTEMPTS):
+        record.started.append(time.time())
         result = await senders.send(planned, start)
-        booking.ended.append(time.time())
-        booking.tries.append(result)
+        record.ended.append(time.time())
+        record.tries.append(result)
         final = result.outcome == "answered" and result.status == 200
-        if final or not planned.key or number == TRIES - 1:
+        if final or not planned.key or number == MAX_ATTEMPTS - 1:
             break
-        await asyncio.sleep(TRY_AGAIN_SECONDS)
+        await asyncio.sleep(RETRY_DELAY_SECONDS)
         planned.target = rng.choice(addresses)
         planned.due = now() - start
     planned.due = due
-    return booking
+    return record
 
 
-async def _drive(arena, seconds, rate, seed):
-    addresses = [arena.fleet.caller_address(host) for host in sorted(arena.fleet.settings)]
+async def _send_calls(context, seconds, rate, seed):
+    addresses = [context.fleet.caller_address(host) for host in sorted(context.fleet.settings)]
     senders = Senders()
     tasks = []
     start = now()
     for planned in plan_calls(CLASSES, addresses, rate, seconds, seed):
         await asyncio.sleep(max(0.0, start + planned.due - now()))
-        tasks.append(asyncio.create_task(_persist(planned, senders, start, addresses, arena.rng)))
-    bookings = await asyncio.gather(*tasks)
+        tasks.append(
+            asyncio.create_task(_send_with_retries(planned, senders, start, addresses, context.rng))
+        )
+    records = await asyncio.gather(*tasks)
     await senders.close()
-    return bookings
+    return records
 
 
-async def _harass(arena, kinds, until):
+async def _inject_faults(context, kinds, until):
     """Bring about faults, one after the other, until the time is up."""
     for name in kinds:
         if now() > until:
             return
-        await FAULTS[name](arena)
-        arena.counts[name] = arena.counts.get(name, 0) + 1
+        await FAULTS[name](context)
+        context.counts[name] = context.counts.get(name, 0) + 1
         await asyncio.sleep(0.3)
 
 
-def _lanes(rng):
+def _fault_sequences(rng):
     """Return endless streams of fault names, each going through all kinds in turn."""
-    for lane in range(FAULT_LANES):
+    for lane in range(CONCURRENT_FAULTS):
         names = sorted(FAULTS)
         rng.shuffle(names)
         # Nodes are killed and restarted by one lane only.
@@ -103,12 +105,12 @@
         yield itertools.cycle(own)
 
 
-def _in_window(arena, process, begin, end):
-    return any(w.process == process and w.begin <= end and begin <= w.end for w in arena.windows)
+def _in_window(context, process, begin, end):
+    return any(w.process == process and w.begin <= end and begin <= w.end for w in context.windows)
 
 
-def _judge(arena, bookings, ledgers):
-    verdict = Verdict(len(bookings), Counter(), Counter(arena.counts), frozenset(FAULTS))
+def _check_guarantees(context, records, ledgers):
+    verdict = Verdict(len(records), Counter(), Counter(context.counts), frozenset(FAULTS))
     broken = {
         name: []
         for name in ("doubled", "false not-run", "lost", "wrong", "cut", "late run", "after drain")
@@ -121,28 +123,30 @@
         runs.update(ledger["ledger"])
         for name, moment in ledger["run_at"].items():
             run_at.setdefault(name, []).append((host, moment))
-    hosts = {node["caller_address"]: host for host, node in arena.fleet.settings.items()}
-    for booking in bookings:
-        verdict.outcomes.update(result.outcome for result in booking.tries)
-        name = booking.planned.name
-        idempotent = booking.planned.kind.idempotent
-        told = {result.outcome for result in booking.tries}
+    hosts = {node["caller_address"]: host for host, node in context.fleet.settings.items()}
+    for record in records:
+        verdict.outcomes.update(result.outcome for result in record.tries)
+        name = record.planned.name
+        idempotent = record.planned.kind.idempotent
+        told = {result.outcome for result in record.tries}
         if runs[name] > 1 and not idempotent:
             broken["doubled"].append(name)
         if runs[name] and told == {"not-run"}:
             broken["false not-run"].append(name)
-        for result, begun, ended in zip(booking.tries, booking.begun, booking.ended, strict=True):
+        for result, started, ended in zip(record.tries, record.started, record.ended, strict=True):
             if not runs[name] and result.status == 200:
                 broken["lost"].append(name)
             if not result.whole:
                 broken["wrong"].append(name)
             process = f"node-{hosts[result.target]}"
             unanswered = result.outcome == "no answer" and result.sent
-            if unanswered and not _in_window(arena, process, begun, ended):
-                broken["cut"].append(f"{name} {process} {result.reason} {begun - arena.began:.2f}")
-        last = max(booking.begun) + booking.planned.kind.deadline_seconds + LATE_SLACK_SECONDS
+            if unanswered and not _in_window(context, process, started, ended):
+                broken["cut"].append(
+                    f"{name} {process} {result.reason} {started - context.start_time:.2f}"
+                )
+        last = max(record.started) + record.planned.kind.deadline_seconds + LATE_SLACK_SECONDS
         for host, moment in run_at.get(name, ()):
-            if moment > last and not _in_window(arena, f"backend-{host}", last - 10, moment):
+            if moment > last and not _in_window(context, f"backend-{host}", last - 10, moment):
                 broken["late run"].append(f"{name} by {moment - last:.2f} s")
     return verdict
 
@@ -173,12 +177,15 @@
     rng = random.Random(seed)
     subtrees = _subtrees(POLICIES[seed % 2])
     async with ProxiedFleet(NODES, subtrees, BACKEND, node_module=module) as proxied:
-        arena = Arena(proxied, rng)
+        context = FaultContext(proxied, rng)
         # Keepers vouch for keys that were made after their start.
         await asyncio.sleep(3.0)
         until = now() + seconds
-        arena.began = time.time()
-        lanes = [asyncio.create_task(_harass(arena, kinds, until)) for kinds in _lanes(rng)]
-        bookings = await _drive(arena, seconds, rate, seed)
+        context.start_time = time.time()
+        lanes = [
+            asyncio.create_task(_inject_faults(context, kinds, until))
+            for kinds in _fault_sequences(rng)
+        ]
+        records = await _send_calls(context, seconds, rate, seed)
         await asyncio.gather(*lanes)
-        return _judge(arena, bookings, await proxied.fleet.ledgers())
+        return _check_guarantees(context, records, await proxied.fleet.ledgers())
