--- a/caperstack/bench/demo.py
+++ b/caperstack/bench/demo.py
@@ -16,8 +16,8 @@
 __all__ = ["main"]
 
 BACKEND = {"mean_ms": 20.0, "sigma": 1.0}
-FIRST_LINES = 25
-KEEPER_SECONDS = 3.0
+TIMELINE_LINES = 25
+KEEPER_START_SECONDS = 3.0
 
 
 def _parser():
@@ -29,7 +29,7 @@
     return parser
 
 
-async def _trouble(fleet, seconds):
+async def _inject_faults(fleet, seconds):
     """Slow one backend server down for a while, then drain another node."""
     hosts = sorted(fleet.settings)
     slow, leaving = hosts[-1], hosts[0]
@@ -46,21 +46,21 @@
 async def _show_timeline(fleet, since):
     addresses = [node["operator_address"] for node in fleet.settings.values()]
     events = merged(await fetch_events(addresses, f"?after={since}"))
-    shown = min(FIRST_LINES, len(events))
+    shown = min(TIMELINE_LINES, len(events))
     print(f"\nTime line, the first {shown} of {len(events)} events since calls began:")
-    for line in text_lines(events[:FIRST_LINES]):
+    for line in text_lines(events[:TIMELINE_LINES]):
         print(line)
 
 
-async def _drive(fleet, options):
+async def _run_calls(fleet, options):
     hosts = sorted(fleet.settings)
     targets = [fleet.caller_address(host) for host in hosts[1:]]
     classes = parse_mix(example_mix(options.example))
     plan = plan_calls(classes, targets, options.rate, options.seconds, seed=1)
     since = wall_microseconds()
-    trouble = asyncio.create_task(_trouble(fleet, options.seconds))
+    fault_task = asyncio.create_task(_inject_faults(fleet, options.seconds))
     results = await run_calls(plan)
-    status = await trouble
+    status = await fault_task
     figures = figures_of(results)
     judgement = judge(results, merged_ledger(await fleet.ledgers()))
     print(table_of(figures))
@@ -89,10 +89,10 @@
         await fleet.settled()
         # Keepers vouch for keys that were made after their start, and the
         # clocks of callers and hosts may differ.
-        await asyncio.sleep(KEEPER_SECONDS)
+        await asyncio.sleep(KEEPER_START_SECONDS)
         if options.serve:
             await _serve(fleet, options.example)
-        good = await _drive(fleet, options)
+        good = await _run_calls(fleet, options)
     return 0 if good else 1
 
 
--- a/caperstack/bench/fleet.py
+++ b/caperstack/bench/fleet.py
@@ -26,8 +26,8 @@
 #: Ports below the range from which the system picks those of outgoing
 #: connections, cut into slices so that fleets of different processes differ.
 FIRST_PORT = 12_000
-SLICE = 500
-SLICES = 40
+PORTS_PER_SLICE = 500
+PORT_SLICES = 40
 
 #: From linux/prctl.h.
 PR_SET_PDEATHSIG = 1
@@ -39,7 +39,7 @@
     """Return `count` loopback addresses on which nobody listens."""
     addresses = []
     while len(addresses) < count:
-        offset = (os.getpid() % SLICES) * SLICE + next(_ports) % SLICE
+        offset = (os.getpid() % PORT_SLICES) * PORTS_PER_SLICE + next(_ports) % PORTS_PER_SLICE
         with socket.socket() as probe:
             try:
                 probe.bind(("127.0.0.1", FIRST_PORT + offset))
@@ -64,7 +64,7 @@
     } | changes
 
 
-def _die_with_parent():
+def _kill_with_parent():
     # A bench that is killed cannot end its processes; they would run on and
     # spoil the figures of the next one.
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
@@ -101,7 +101,7 @@
                 [sys.executable, "-m", *self._arguments],
                 stdout=log,
                 stderr=log,
-                preexec_fn=_die_with_parent,
+                preexec_fn=_kill_with_parent,
             )
 
     def signal(self, number):
@@ -334,10 +334,10 @@
         reply = await request(self.settings[host]["operator_address"], "GET", path)
         return json.loads(reply.body)
 
-    async def control(self, host, **troubles):
+    async def control(self, host, **faults):
         """Set troubles of the backend server of `host`."""
         address = self.settings[host]["backend"]["address"]
-        return await request(address, "POST", "/control", body=json.dumps(troubles).encode())
+        return await request(address, "POST", "/control", body=json.dumps(faults).encode())
 
     async def platform_request(self, name, method, path, document=None):
         """Send a request to a platform stand-in; return the decoded answer."""
--- a/caperstack/bench/routing.py
+++ b/caperstack/bench/routing.py
@@ -32,9 +32,9 @@
 SCENARIOS = ("calm", "slow", "failing", "cold", "lying")
 
 #: Regression bounds, as ratios within one run.
-OF_ORACLE_MOST = 1.3
-OF_POWER_OF_TWO_MOST = 0.5
-MEASURING_MOST = 1.0
+MAX_P99_TO_ORACLE = 1.3
+MAX_P99_TO_POWER_OF_TWO = 0.5
+MAX_MEASURING_PER_SECOND = 1.0
 
 SLOW_FACTOR = 10.0
 SLOW_SECONDS = 2.0
@@ -60,11 +60,11 @@
 
 
 #: A baseline is the policy alone: no moves, no retries, no hedges.
-_ALONE = {"refusals_per_call": 0, "retry_share": 0.0, "hedge_share": 0.0}
+_POLICY_ONLY = {"refusals_per_call": 0, "retry_share": 0.0, "hedge_share": 0.0}
 
 
 def _subtree(policy):
-    extras = {} if policy == "load_aware" else _ALONE
+    extras = {} if policy == "load_aware" else _POLICY_ONLY
     return {
         "services": {"s": {"policy": policy} | extras},
         "routes": [{"path": "/s", "service": "s", "deadline_seconds": CALL_SECONDS}],
@@ -74,9 +74,9 @@
 class _Oracle:
     """Calls servers directly, knowing each one's calls in flight and its trouble."""
 
-    def __init__(self, fleet, troubles):
+    def __init__(self, fleet, faults):
         self._hosts = sorted(fleet.settings)
-        self._troubles = troubles
+        self._faults = faults
         self._in_flight = dict.fromkeys(self._hosts, 0)
         self._clients = {
             host: BackendClient(
@@ -86,14 +86,14 @@
         }
 
     def _cost(self, host):
-        if host in self._troubles.failing:
+        if host in self._faults.failing:
             return float("inf")
-        crowding = max(1.0, (self._in_flight[host] + 1) / SLOTS)
-        return (crowding * self._troubles.factor.get(host, 1.0), self._in_flight[host])
+        occupancy = max(1.0, (self._in_flight[host] + 1) / SLOTS)
+        return (occupancy * self._faults.slowdown.get(host, 1.0), self._in_flight[host])
 
     async def fetch(self, call):
         """Return the answer of the best server."""
-        usable = [host for host in self._hosts if host not in self._troubles.failing]
+        usable = [host for host in self._hosts if host not in self._faults.failing]
         host = min(usable, key=self._cost)
         self._in_flight[host] += 1
         try:
@@ -102,7 +102,7 @@
             self._in_flight[host] -= 1
 
 
-class _Entries:
+class _RandomNodeClient:
     """Calls nodes at random, as callers do."""
 
     def __init__(self, fleet, rng):
@@ -117,14 +117,14 @@
         return await self._rng.choice(self._clients).fetch(call)
 
 
-class _Troubles:
+class _ServerFaults:
     """The scenario's trouble of one server, as set and as the oracle knows it."""
 
     def __init__(self, fleet, scenario):
         self._fleet = fleet
         self._scenario = scenario
         self._host = sorted(fleet.settings)[0]
-        self.factor = {}
+        self.slowdown = {}
         self.failing = set()
 
     async def run(self):
@@ -134,17 +134,17 @@
             self.failing.add(self._host)
             await control(self._host, fail_status=500)
         elif self._scenario == "cold":
-            self.factor[self._host] = 3.0
+            self.slowdown[self._host] = 3.0
             await control(self._host, cold_seconds=3600.0)
         elif self._scenario == "lying":
             await control(self._host, lie_in_flight=0)
             for host in sorted(self._fleet.settings)[1:]:
                 await control(host, load_lag_seconds=2.0)
         while self._scenario == "slow":
-            self.factor[self._host] = SLOW_FACTOR
+            self.slowdown[self._host] = SLOW_FACTOR
             await control(self._host, slow_factor=SLOW_FACTOR)
             await asyncio.sleep(SLOW_SECONDS)
-            self.factor[self._host] = 1.0
+            self.slowdown[self._host] = 1.0
             await control(self._host, slow_factor=1.0)
             await asyncio.sleep(FAST_SECONDS)
 
@@ -185,7 +185,7 @@
     (latencies if answer.status == 200 else failures).append(now() - due)
 
 
-async def _drive(path, rate, seconds, rng):
+async def _send_calls(path, rate, seconds, rng):
     """Return times of answered, of failed and of warm-up calls, three lists."""
     latencies, failures, warm, tasks = [], [], [], set()
     start = due = now()
@@ -219,33 +219,33 @@
 
 async def _measure(fleet, policy, scenario, load, seconds, seed):
     rng = random.Random(seed)
-    troubles = _Troubles(fleet, scenario)
+    faults = _ServerFaults(fleet, scenario)
     if policy != "oracle":
         await _set_policy(fleet, policy)
-    path = _Oracle(fleet, troubles) if policy == "oracle" else _Entries(fleet, rng)
+    path = _Oracle(fleet, faults) if policy == "oracle" else _RandomNodeClient(fleet, rng)
     before, ledgers = await fleet_counters(fleet), await fleet.ledgers()
-    begun = now()
-    trouble = asyncio.create_task(troubles.run())
+    started = now()
+    fault_task = asyncio.create_task(faults.run())
     await asyncio.sleep(0.1)
     rate = load * SERVERS * SLOTS / MEAN_SECONDS
     try:
-        times = await _drive(path, rate, seconds, rng)
+        times = await _send_calls(path, rate, seconds, rng)
     finally:
-        trouble.cancel()
-        await troubles.end()
+        fault_task.cancel()
+        await faults.end()
     counters = (before, await fleet_counters(fleet))
-    took = now() - begun
-    return _row(load, scenario, policy, times, counters, (ledgers, await fleet.ledgers()), took)
+    elapsed = now() - started
+    return _row(load, scenario, policy, times, counters, (ledgers, await fleet.ledgers()), elapsed)
 
 
-def _row(load, scenario, policy, times, counters, ledgers, took):
+def _row(load, scenario, policy, times, counters, ledgers, elapsed):
     latencies, failures, warm = times
     histogram = latency_histogram(latencies)
     calls = len(latencies) + len(failures)
     first, last = ledgers
     runs = sum(last[h]["runs"] - first[h]["runs"] for h in last)
     # A window of some seconds may hold one reading more than its rate.
-    measuring = [(last[h]["measured"] - first[h]["measured"] - 1) / took for h in last]
+    measuring = [(last[h]["measured"] - first[h]["measured"] - 1) / elapsed for h in last]
     late = sum(latency > LATE_SECONDS for latency in latencies) + len(failures)
     refusals = counter_sum(*counters, "refusals") if policy != "oracle" else 0
     return Row(
@@ -273,15 +273,15 @@
     )
 
 
-def _check(rows):
+def _check_bounds(rows):
     """Print what misses its bound; return whether nothing does."""
     found = {(row.load, row.scenario, row.policy): row for row in rows}
     good = True
     for (load, scenario, policy), row in found.items():
         if policy != "load_aware":
             continue
-        bounds = [("oracle", OF_ORACLE_MOST, ("calm", "slow", "failing", "cold", "lying"))]
-        bounds.append(("power_of_two", OF_POWER_OF_TWO_MOST, ("slow",)))
+        bounds = [("oracle", MAX_P99_TO_ORACLE, ("calm", "slow", "failing", "cold", "lying"))]
+        bounds.append(("power_of_two", MAX_P99_TO_POWER_OF_TWO, ("slow",)))
         for other, most, scenarios in bounds:
             against = found.get((load, scenario, other))
             if against is None or scenario not in scenarios:
@@ -290,7 +290,7 @@
             verdict = "ok" if ratio <= most else "MISSED"
             good &= ratio <= most
             print(f"{load:4.0%} {scenario:8} p99 {ratio:.2f} x {other} (bound {most}): {verdict}")
-        if row.measuring_per_second > MEASURING_MOST:
+        if row.measuring_per_second > MAX_MEASURING_PER_SECOND:
             print(f"{load:4.0%} {scenario:8} measuring {row.measuring_per_second}/s: MISSED")
             good = False
     return good
@@ -324,7 +324,7 @@
     if options.json:
         with open(options.json, "w", encoding="utf-8") as file:
             json.dump([asdict(row) for row in rows], file, indent=2)
-    return 0 if _check(rows) else 1
+    return 0 if _check_bounds(rows) else 1
 
 
 if __name__ == "__main__":
