--- a/caperstack/bench/hop.py
+++ b/caperstack/bench/hop.py
@@ -15,8 +15,8 @@
 __all__ = ["main"]
 
 #: Regression bounds: the added median as a multiple of the direct call's median.
-ONE_HOP_MOST = 2.5
-TWO_HOPS_MOST = 5.0
+MAX_ONE_HOP_OVERHEAD = 2.5
+MAX_TWO_HOPS_OVERHEAD = 5.0
 
 ROUND_CALLS = 100
 BODY_BYTES = 512
@@ -65,13 +65,13 @@
     for number in range(rounds + 1):
         for path in paths:
             for _ in range(ROUND_CALLS):
-                begun = now()
+                started = now()
                 answer = await path.client.fetch(_call(path.target))
                 if answer.status != 200:
                     raise RuntimeError(f"{path.name}: status {answer.status}")
                 # The first round warms connections and estimates up.
                 if number:
-                    path.latencies.append(now() - begun)
+                    path.latencies.append(now() - started)
 
 
 async def _processor_times(fleet, paths, rounds):
@@ -130,7 +130,7 @@
             f"processor ms/call {one['processor_ms_per_call']}"
         )
     good = True
-    for name, most in (("one hop", ONE_HOP_MOST), ("two hops", TWO_HOPS_MOST)):
+    for name, most in (("one hop", MAX_ONE_HOP_OVERHEAD), ("two hops", MAX_TWO_HOPS_OVERHEAD)):
         ratio = (figures[name]["median_ms"] - direct["median_ms"]) / direct["median_ms"]
         if ratio > most:
             print(f"FAILED: {name} adds {ratio:.2f} x the direct median, bound {most}")
--- a/caperstack/bench/idle.py
+++ b/caperstack/bench/idle.py
@@ -13,7 +13,7 @@
 __all__ = ["main"]
 
 IDLE_CALLERS = 1000
-MEMORY_MOST = 256e6
+MAX_MEMORY_BYTES = 256e6
 REQUEST = b"GET /s HTTP/1.1\r\nHost: x\r\n\r\n"
 SUBTREES = {"": {"services": {"s": {}}, "routes": [{"path": "/s", "service": "s"}]}}
 
@@ -40,9 +40,11 @@
             writer.close()
     figures = figures_of(results)
     print(table_of(figures))
-    print(f"memory {memory / 1e6:.1f} MB (bound {MEMORY_MOST / 1e6:.0f}), idle open {open_still}")
+    print(
+        f"memory {memory / 1e6:.1f} MB (bound {MAX_MEMORY_BYTES / 1e6:.0f}), idle open {open_still}"
+    )
     answered = figures["all"].outcomes["answered"] == len(results)
-    return answered and memory <= MEMORY_MOST and open_still == IDLE_CALLERS
+    return answered and memory <= MAX_MEMORY_BYTES and open_still == IDLE_CALLERS
 
 
 def main(arguments=None):
--- a/caperstack/bench/overload.py
+++ b/caperstack/bench/overload.py
@@ -22,16 +22,16 @@
 LIGHT_RATE = 10.0
 LIGHT_SECONDS = 6.0
 
-BEFORE, DURING, AFTER = 0.6, 2.0, 0.6
+LOAD_BEFORE, LOAD_DURING, LOAD_AFTER = 0.6, 2.0, 0.6
 BEFORE_SECONDS = 6.0
 AFTER_SECONDS = 12.0
 WINDOW_SECONDS = 0.5
 
 #: Regression bounds.
-AMPLIFICATION_MOST = 1.1
-RECOVERY_SECONDS_MOST = 2.0
-BOOKINGS_LEAST = 0.9
-NORMAL = 1.5
+MAX_AMPLIFICATION = 1.1
+MAX_RECOVERY_SECONDS = 2.0
+MIN_BOOKINGS_IN_TIME = 0.9
+NORMAL_LATENCY_FACTOR = 1.5
 
 KINDS = [
     CallClass(
@@ -50,9 +50,9 @@
 
 
 def _phases(seconds):
-    first = _Phase("before", 0.0, BEFORE_SECONDS, BEFORE)
-    second = _Phase("overload", first.end, first.end + seconds, DURING)
-    return [first, second, _Phase("after", second.end, second.end + AFTER_SECONDS, AFTER)]
+    first = _Phase("before", 0.0, BEFORE_SECONDS, LOAD_BEFORE)
+    second = _Phase("overload", first.end, first.end + seconds, LOAD_DURING)
+    return [first, second, _Phase("after", second.end, second.end + AFTER_SECONDS, LOAD_AFTER)]
 
 
 async def _capacity(targets):
@@ -89,7 +89,7 @@
     return {"": {"services": services, "routes": routes}}
 
 
-def _in(phase, results):
+def _results_in(phase, results):
     return [r for r in results if phase.begin <= r.due < phase.end]
 
 
@@ -106,7 +106,7 @@
         begin = phase.begin + step * WINDOW_SECONDS
         window = [r for r in results if begin <= r.due < begin + WINDOW_SECONDS]
         answered = [r.seconds for r in window if r.status == 200]
-        good = answered and statistics.median(answered) <= NORMAL * normal
+        good = answered and statistics.median(answered) <= NORMAL_LATENCY_FACTOR * normal
         if not good or len(answered) < 0.9 * len(window):
             recovered = (step + 1) * WINDOW_SECONDS
     return recovered
@@ -140,24 +140,26 @@
 def _report(phases, results, runs):
     """Print the figures; return whether they meet the bounds."""
     for phase in phases:
-        own = _in(phase, results)
+        own = _results_in(phase, results)
         answered = [r.seconds for r in own if r.status == 200]
         print(
             f"{phase.name:9} {phase.load:4.0%} of capacity: {len(own)} calls, median "
             f"{statistics.median(answered) * 1000:.0f} ms; in time: bookings "
             f"{_share_in_time(own, 'booking'):.1%}, listings {_share_in_time(own, 'listing'):.1%}"
         )
-    normal = statistics.median(r.seconds for r in _in(phases[0], results) if r.status == 200)
+    normal = statistics.median(
+        r.seconds for r in _results_in(phases[0], results) if r.status == 200
+    )
     recovery = _recovery_seconds(phases[2], results, normal)
     amplification = max(runs) / runs[0]
-    bookings = _share_in_time(_in(phases[1], results), "booking")
-    print(f"runs by level {runs}: amplification {amplification:.3f} (bound {AMPLIFICATION_MOST})")
-    print(f"normal again after {recovery:.1f} s (bound {RECOVERY_SECONDS_MOST})")
-    print(f"bookings in time under overload {bookings:.1%} (bound {BOOKINGS_LEAST:.0%})")
+    bookings = _share_in_time(_results_in(phases[1], results), "booking")
+    print(f"runs by level {runs}: amplification {amplification:.3f} (bound {MAX_AMPLIFICATION})")
+    print(f"normal again after {recovery:.1f} s (bound {MAX_RECOVERY_SECONDS})")
+    print(f"bookings in time under overload {bookings:.1%} (bound {MIN_BOOKINGS_IN_TIME:.0%})")
     return (
-        amplification <= AMPLIFICATION_MOST
-        and recovery <= RECOVERY_SECONDS_MOST
-        and bookings >= BOOKINGS_LEAST
+        amplification <= MAX_AMPLIFICATION
+        and recovery <= MAX_RECOVERY_SECONDS
+        and bookings >= MIN_BOOKINGS_IN_TIME
     )
 
 
--- a/caperstack/bench/settings.py
+++ b/caperstack/bench/settings.py
@@ -19,9 +19,9 @@
 SETTLE_SECONDS = 5.0
 
 #: Regression bounds.
-WORST_SECONDS_MOST = 3.0
-PROCESSOR_SHARE_MOST = 0.014
-BYTES_PER_SECOND_MOST = 6000
+MAX_IN_FORCE_SECONDS = 3.0
+MAX_PROCESSOR_SHARE = 0.014
+MAX_BYTES_PER_SECOND = 6000
 
 SUBTREES = {
     "": {
@@ -46,7 +46,7 @@
     memory_mb: float
 
 
-async def _one_change(fleet, number):
+async def _time_change(fleet, number):
     """Make a change; return the seconds until each node had it in force."""
     document = SUBTREES["t"] | {"defaults": {"key_window_seconds": 100 + number}}
     reply = await fleet.platform_request("configuration", "PUT", "/v1/subtrees/t", document)
@@ -67,24 +67,24 @@
     return list(delays.values())
 
 
-async def _calls(fleet):
+async def _platform_calls(fleet):
     return (await fleet.platform_request("configuration", "GET", "/calls"))["calls"]
 
 
-async def _idle(fleet):
+async def _idle_cost(fleet):
     """Return platform reads, bytes, processor share and memory of idle nodes."""
-    begun, calls = now(), await _calls(fleet)
+    started, calls = now(), await _platform_calls(fleet)
     before = await fleet_counters(fleet)
     processor = [process.cpu_seconds() for process in fleet.nodes.values()]
     await asyncio.sleep(IDLE_SECONDS)
     used = [p.cpu_seconds() - b for p, b in zip(fleet.nodes.values(), processor, strict=True)]
-    took = now() - begun
+    elapsed = now() - started
     after = await fleet_counters(fleet)
     traffic = after["caperstack_peer_bytes_out"] - before["caperstack_peer_bytes_out"]
     return (
-        (await _calls(fleet) - calls) / took,
-        traffic / len(fleet.nodes) / took,
-        statistics.mean(used) / took,
+        (await _platform_calls(fleet) - calls) / elapsed,
+        traffic / len(fleet.nodes) / elapsed,
+        statistics.mean(used) / elapsed,
         statistics.mean(p.resident_bytes() for p in fleet.nodes.values()) / 1e6,
     )
 
@@ -96,11 +96,11 @@
     async with Fleet(nodes, SUBTREES) as fleet:
         await fleet.settled()
         await asyncio.sleep(SETTLE_SECONDS)
-        idle = await _idle(fleet)
-        calls, delays = await _calls(fleet), []
+        idle = await _idle_cost(fleet)
+        calls, delays = await _platform_calls(fleet), []
         for number in range(CHANGES):
-            delays += await _one_change(fleet, number)
-        reads = (await _calls(fleet) - calls) / CHANGES
+            delays += await _time_change(fleet, number)
+        reads = (await _platform_calls(fleet) - calls) / CHANGES
     return FleetFigures(
         size,
         round(statistics.median(delays), 4),
@@ -113,11 +113,11 @@
     )
 
 
-def _good(figures):
+def _meets_bounds(figures):
     return (
-        figures.in_force_worst_s <= WORST_SECONDS_MOST
-        and figures.processor_share <= PROCESSOR_SHARE_MOST
-        and figures.bytes_per_node_second <= BYTES_PER_SECOND_MOST
+        figures.in_force_worst_s <= MAX_IN_FORCE_SECONDS
+        and figures.processor_share <= MAX_PROCESSOR_SHARE
+        and figures.bytes_per_node_second <= MAX_BYTES_PER_SECOND
     )
 
 
@@ -131,12 +131,12 @@
     for size in options.sizes:
         figures = asyncio.run(measure_fleet(size))
         rows.append(figures)
-        verdict = "ok" if _good(figures) else "MISSED"
+        verdict = "ok" if _meets_bounds(figures) else "MISSED"
         print(json.dumps(asdict(figures)), verdict, flush=True)
     if options.json:
         with open(options.json, "w", encoding="utf-8") as file:
             json.dump([asdict(row) for row in rows], file, indent=2)
-    return 0 if all(_good(row) for row in rows) else 1
+    return 0 if all(_meets_bounds(row) for row in rows) else 1
 
 
 if __name__ == "__main__":
--- a/caperstack/bench/slopes.py
+++ b/caperstack/bench/slopes.py
@@ -63,13 +63,13 @@
 async def _usage(fleet, host, seconds, during=None):
     """Return processor share, memory in bytes and peer bytes a second of one node."""
     process = fleet.nodes[host]
-    begun, used = now(), process.cpu_seconds()
+    started, used = now(), process.cpu_seconds()
     before = await fleet_counters(fleet)
     await (during if during is not None else asyncio.sleep(seconds))
-    share = (process.cpu_seconds() - used) / (now() - begun)
+    share = (process.cpu_seconds() - used) / (now() - started)
     after = await fleet_counters(fleet)
     sent = after["caperstack_peer_bytes_out"] - before["caperstack_peer_bytes_out"]
-    return share, process.resident_bytes(), sent / (now() - begun)
+    return share, process.resident_bytes(), sent / (now() - started)
 
 
 async def _per_call():
@@ -86,11 +86,13 @@
         near = [CallClass(name="near", path="/near", method="POST", keyed=True, deadline_seconds=5)]
         for rate in CALL_RATES:
             plan = plan_calls(far, target, rate, CALL_SECONDS, seed=rate)
-            begun = fleet.nodes["b"].cpu_seconds()
+            started = fleet.nodes["b"].cpu_seconds()
             moment = now()
             share, _, _ = await _usage(fleet, "a", 0, run_calls(plan))
             entry.points.append((rate, share))
-            owner.points.append((rate, (fleet.nodes["b"].cpu_seconds() - begun) / (now() - moment)))
+            owner.points.append(
+                (rate, (fleet.nodes["b"].cpu_seconds() - started) / (now() - moment))
+            )
             plan = plan_calls(near, target, rate, CALL_SECONDS, seed=rate)
             share, _, _ = await _usage(fleet, "a", 0, run_calls(plan))
             keyed.points.append((rate, share))
--- a/caperstack/bench/transports.py
+++ b/caperstack/bench/transports.py
@@ -125,10 +125,10 @@
     for number in range(rounds + 1):
         for name, one in callers.items():
             for _ in range(ROUND_CALLS):
-                begun = now()
+                started = now()
                 await one()
                 if number:
-                    latencies[name].append(now() - begun)
+                    latencies[name].append(now() - started)
     return latencies
 
 
