--- a/caperstack/bench/faults.py
+++ b/caperstack/bench/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a soak with subtrees brings about, each with its end."""
+"""Faults that the soak with subtrees injects; each ends before its function returns."""
 
 import asyncio
 import signal
@@ -14,7 +14,15 @@
 
 @dataclass
 class FaultWindow:
-    """A time in which a process was not itself; wall clock seconds."""
+    """An interval in which a process was faulty.
+
+    Attributes
+    ----------
+    process : str
+        The name of the `caperstack.bench.fleet.Process`.
+    begin, end : float
+        Wall clock times in seconds; ``end`` is infinite while the fault lasts.
+    """
 
     process: str
     begin: float
@@ -23,7 +31,21 @@
 
 @dataclass
 class FaultContext:
-    """What faults act on, and what they note for the judge."""
+    """The fleet that faults act on, and what they record for the check of the guarantees.
+
+    Attributes
+    ----------
+    proxied : ProxiedFleet
+        The nodes, with a proxy between each ordered pair.
+    rng : random.Random
+        The source of randomness of all faults.
+    windows : list of FaultWindow
+        The intervals in which processes were faulty.
+    counts : dict of str to int
+        How often each fault was injected.
+    start_time : float
+        The wall clock time in seconds at which the load began.
+    """
 
     proxied: object
     rng: object
@@ -37,27 +59,27 @@
         return self.proxied.fleet
 
     def note(self, text):
-        """Tell what happens now, for whoever reads the run."""
+        """Print `text` with the seconds since the start of the load."""
         print(f"  {time.time() - self.start_time:7.2f} s: {text}", flush=True)
 
     def open_window(self, process):
-        """Note that `process` is not itself from now on; return the `FaultWindow`."""
-        self.note(f"trouble for {process}")
+        """Record that `process` is faulty from now on; return the open `FaultWindow`."""
+        self.note(f"fault in {process}")
         window = FaultWindow(process, time.time())
         self.windows.append(window)
         return window
 
     def random_host(self):
-        """Return a host at random."""
+        """Return a random host."""
         return self.rng.choice(sorted(self.fleet.settings))
 
     def random_proxy(self):
-        """Return a proxy at random."""
+        """Return the proxy of a random ordered pair of nodes."""
         return self.proxied.proxies[self.rng.choice(sorted(self.proxied.proxies))]
 
 
 async def _kill_node(context):
-    """Kill a node and start it anew."""
+    """Kill a node and start it again within a second."""
     host = context.random_host()
     window = context.open_window(f"node-{host}")
     context.fleet.nodes[host].signal(signal.SIGKILL)
@@ -69,16 +91,17 @@
 
 
 async def _restart_node(context):
-    """Drain a node with calls in flight, and start it anew."""
+    """Drain a node while calls are in flight, then start it again."""
     host = context.random_host()
     context.note(f"restart {host}")
     context.fleet.nodes[host].signal(signal.SIGTERM)
     status = await context.fleet.nodes[host].ended()
     if status != 0:
         raise RuntimeError(
-            f"{host} ended with {status}: {context.fleet.nodes[host].output[-2000:]}"
+            f"{host} exited with status {status}: {context.fleet.nodes[host].output[-2000:]}"
         )
-    # Who still sends to an address where nobody listens is not cut.
+    # The window opens only now, so that a call cut by the drain itself is still a violation.
+    # A call sent to the address while nobody listens there is not one.
     window = context.open_window(f"node-{host}")
     context.fleet.start_node(host)
     await context.fleet.ready(host)
@@ -86,6 +109,7 @@
 
 
 async def _freeze(context, process):
+    """Suspend a process for 0.7 to 5 seconds."""
     window = context.open_window(process.name)
     process.signal(signal.SIGSTOP)
     await asyncio.sleep(context.rng.choice((0.7, 2.0, 5.0)))
@@ -95,17 +119,17 @@
 
 
 async def _freeze_node(context):
-    """Stop a node for a while, then let it wake with old beliefs."""
+    """Suspend a node for a while, so that it resumes with stale state."""
     await _freeze(context, context.fleet.nodes[context.random_host()])
 
 
 async def _freeze_backend(context):
-    """Stop a backend server for a while."""
+    """Suspend a backend server for a while."""
     await _freeze(context, context.fleet.backends[context.random_host()])
 
 
 async def _partition(context):
-    """Hold both directions between a node and all others."""
+    """Hold all frames between a node and the others, in both directions."""
     host = context.random_host()
     cut = [proxy for pair, proxy in context.proxied.proxies.items() if host in pair]
     for proxy in cut:
@@ -116,7 +140,7 @@
 
 
 async def _partition_one_way(context):
-    """Hold the answers of one pair of nodes, but not the calls."""
+    """Hold the answers between one pair of nodes, but not the calls."""
     proxy = context.random_proxy()
     proxy.answers.hold = True
     await asyncio.sleep(context.rng.uniform(1.0, 4.0))
@@ -124,7 +148,7 @@
 
 
 async def _cut_connections(context):
-    """Reset the connections of all pairs of nodes, again and again."""
+    """Reset the connections between all pairs of nodes eight times."""
     for _ in range(8):
         for proxy in context.proxied.proxies.values():
             proxy.cut()
@@ -132,6 +156,16 @@
 
 
 def _answer_fault(name, share):
+    """Return a fault that affects a share of the answers between all nodes for 2 s.
+
+    Parameters
+    ----------
+    name : {"lose", "duplicate", "reorder"}
+        The attribute of `caperstack.bench.proxy.FrameFaults` to set.
+    share : float
+        The share of answers affected.
+    """
+
     async def fault(context):
         proxies = list(context.proxied.proxies.values())
         for proxy in proxies:
@@ -141,12 +175,12 @@
         for proxy in proxies:
             setattr(proxy.answers, name, 0.0)
 
-    fault.__doc__ = f"Let answers between nodes suffer: {name}."
+    fault.__doc__ = f"Inject a fault into answers between nodes: {name}."
     return fault
 
 
 async def _late_answers(context):
-    """Delay the answers of one pair of nodes."""
+    """Delay the answers between one pair of nodes by 0.2 s."""
     proxy = context.random_proxy()
     proxy.answers.delay_seconds = 0.2
     await asyncio.sleep(2.0)
@@ -154,6 +188,8 @@
 
 
 def _backend_fault(seconds, **faults):
+    """Return a fault that sets these options of a random backend server for some seconds."""
+
     async def fault(context):
         host = context.random_host()
         process = context.fleet.backends[host]
@@ -164,7 +200,7 @@
         await asyncio.sleep(seconds)
         await context.fleet.control(host, **reset)
 
-    fault.__doc__ = f"Trouble a backend server: {faults}."
+    fault.__doc__ = f"Inject faults into a backend server: {faults}."
     return fault
 
 
--- a/caperstack/bench/proxy.py
+++ b/caperstack/bench/proxy.py
@@ -1,4 +1,4 @@
-"""A fault-injecting TCP proxy between two nodes, in the process of the test."""
+"""A TCP proxy between two nodes that injects faults, run in the process of the test."""
 
 import asyncio
 import random
@@ -13,24 +13,26 @@
 
 READ_BYTES = 64 * 1024
 
-#: How long a frame that is overtaken is held back.
+#: Delay of a reordered frame, in seconds, so that later frames overtake it.
 REORDER_SECONDS = 0.05
 
 
 @dataclass
 class FrameFaults:
-    """What happens to the frames of one direction.
+    """Faults injected into the frames of one direction.
 
     Attributes
     ----------
     hold : bool
-        Nothing gets through until it is released, as in a partition.
+        Whether all frames wait until this is cleared, as in a partition.
     delay_seconds : float
-        Each frame is late by this.
+        The delay of each frame, in seconds.
     lose, duplicate, reorder : float
-        Shares of frames; the hello is never touched.
+        The share of frames that are lost, sent twice or reordered.  A `Hello` is never affected.
     kinds : tuple of type
-        The messages concerned by ``lose``, ``duplicate`` and ``reorder``; empty for all.
+        The message classes that ``lose``, ``duplicate`` and ``reorder`` apply to; all if empty.
+    injected : dict of str to int
+        How often each fault was injected.
     """
 
     hold: bool = False
@@ -42,7 +44,7 @@
     injected: dict = field(default_factory=dict)
 
     def should_inject(self, name, message, rng):
-        """Return whether fault `name` strikes `message`, and count it."""
+        """Decide at random whether fault `name` is injected into `message`, and count it if so."""
         share = getattr(self, name)
         if not share or isinstance(message, Hello):
             return False
@@ -55,21 +57,21 @@
 
 
 class FaultProxy:
-    """Forward connections to `target` through two `FrameFaults`.
+    """Forward connections to a node and inject faults in both directions.
 
     Parameters
     ----------
     target : str
-        The peer address of the node behind it.
+        The peer address of the node behind the proxy.
     seed : int
-        Of the chance in it.
+        The seed of its random choices.
 
     Attributes
     ----------
     address : str
-        Where it listens.
-    calls, answers : Faults
-        Towards the target, and back from it.
+        The address on which the proxy listens.
+    calls, answers : FrameFaults
+        The faults of frames to the target and back from it.
     """
 
     def __init__(self, target, seed=0):
@@ -82,12 +84,12 @@
         self.answers = FrameFaults()
 
     async def start(self):
-        """Listen."""
+        """Start to listen."""
         ip, port = split_address(self.address)
         self._server = await asyncio.start_server(self._accept, ip, port)
 
     async def stop(self):
-        """Stop and cut all connections."""
+        """Stop listening and reset all connections."""
         self._server.close()
         self.cut()
 
@@ -97,7 +99,7 @@
             writer.transport.abort()
 
     def partition(self, held=True):
-        """Hold both directions, or release them."""
+        """Hold the frames of both directions, or release them if `held` is false."""
         self.calls.hold = self.answers.hold = held
 
     async def _accept(self, reader, writer):
@@ -139,7 +141,7 @@
                 if faults.should_inject("duplicate", message, self._random):
                     _write(writer, frame)
             await writer.drain()
-        # One side closed: the other learns at once.
+        # One side has closed its connection: raise, so that the task group closes the other.
         raise ConnectionResetError
 
 
--- a/caperstack/bench/torture.py
+++ b/caperstack/bench/torture.py
@@ -1,4 +1,4 @@
-"""Mixed faults on the product's own fleet; the half of `caperstack-soak` with subtrees."""
+"""Mixed faults on a fleet that serves calls: the part of ``caperstack-soak`` with subtrees."""
 
 import asyncio
 import itertools
@@ -19,7 +19,8 @@
 NODES = 4
 BACKEND = {"mean_ms": 25.0, "sigma": 1.0}
 
-#: Even seeds send most calls through two nodes, odd ones choose as the product does.
+#: Routing policies by parity of the seed.  ``random`` sends most calls through two nodes;
+#: ``load_aware`` is the policy that the product ships.
 POLICIES = ("random", "load_aware")
 
 CLASSES = [
@@ -30,20 +31,31 @@
     CallClass(name="unkeyed", path="/bookings", method="POST", share=2, deadline_seconds=1.5),
 ]
 
-#: A caller repeats a booking under its key so often, until it is answered.
+#: A caller sends a keyed booking at most this often, until it is answered.
 MAX_ATTEMPTS = 4
 RETRY_DELAY_SECONDS = 0.4
 
-#: A run may start this much after the caller's deadline: scheduling of this machine.
+#: A call may start to run this much after the caller's deadline, for delays in the scheduling
+#: of processes on the test machine.
 LATE_SLACK_SECONDS = 0.3
 
-#: Faults at once, so that they meet.
+#: Faults run at the same time, so that they overlap.
 CONCURRENT_FAULTS = 2
 
 
 @dataclass
 class _CallRecord:
-    """A planned call and the results of all its tries."""
+    """A planned call and its attempts.
+
+    Attributes
+    ----------
+    planned : caperstack.load.plan.PlannedCall
+        The call as planned.
+    tries : list
+        The result of each attempt.
+    started, ended : list of float
+        Wall clock times of each attempt in seconds.
+    """
 
     planned: object
     tries: list = field(default_factory=list)
@@ -52,7 +64,7 @@
 
 
 async def _send_with_retries(planned, senders, start, addresses, rng):
-    """Send a call, and again under its key until it is answered; return a `_CallRecord`."""
+    """Send a call, retry it if it has a key until it is answered; return its `_CallRecord`."""
     record = _CallRecord(planned)
     due = planned.due
     for number in range(MAX_ATTEMPTS):
@@ -71,6 +83,7 @@
 
 
 async def _send_calls(context, seconds, rate, seed):
+    """Send the planned calls at their due times; return their records."""
     addresses = [context.fleet.caller_address(host) for host in sorted(context.fleet.settings)]
     senders = Senders()
     tasks = []
@@ -86,7 +99,7 @@
 
 
 async def _inject_faults(context, kinds, until):
-    """Bring about faults, one after the other, until the time is up."""
+    """Inject faults of the given kinds one after the other, until the time is up."""
     for name in kinds:
         if now() > until:
             return
@@ -96,20 +109,25 @@
 
 
 def _fault_sequences(rng):
-    """Return endless streams of fault names, each going through all kinds in turn."""
+    """Yield endless sequences of fault names, one per concurrent fault.
+
+    Each goes through its kinds in a random, fixed order.
+    """
     for lane in range(CONCURRENT_FAULTS):
         names = sorted(FAULTS)
         rng.shuffle(names)
-        # Nodes are killed and restarted by one lane only.
+        # Only the first sequence contains faults of processes, such as kills and restarts.
         own = [n for n in names if ("node" in n or "backend" in n or "dying" in n) == (lane == 0)]
         yield itertools.cycle(own)
 
 
 def _in_window(context, process, begin, end):
+    """Return whether `process` was faulty at any time between `begin` and `end`."""
     return any(w.process == process and w.begin <= end and begin <= w.end for w in context.windows)
 
 
 def _check_guarantees(context, records, ledgers):
+    """Compare what callers received with the ledgers of the servers; return the `Verdict`."""
     verdict = Verdict(len(records), Counter(), Counter(context.counts), frozenset(FAULTS))
     broken = {
         name: []
@@ -158,18 +176,24 @@
 
 
 async def run_torture(seconds, seed, rate=80.0, weakened=None):
-    """Run one soak and return its `caperstack.soak.verdict.Verdict`.
+    """Run one soak with faults.
 
     Parameters
     ----------
     seconds : float
-        How long calls are sent.
+        How long calls are sent, in seconds.
     seed : int
-        Of all chance in it, but for what the machine's timing adds.
+        The seed of all random choices.  Timing on the machine still varies between runs.
     rate : float
-        Calls a second.
+        Calls per second.
     weakened : str, optional
-        One of `WEAKENINGS`, to show that the checks can fail.
+        A safeguard to switch off, one of `caperstack.bench.weakened.WEAKENINGS`, to show that
+        the checks detect its absence.
+
+    Returns
+    -------
+    verdict : caperstack.soak.verdict.Verdict
+        The violations of each guarantee.
     """
     module = ("caperstack.node.main",)
     if weakened:
@@ -178,7 +202,7 @@
     subtrees = _subtrees(POLICIES[seed % 2])
     async with ProxiedFleet(NODES, subtrees, BACKEND, node_module=module) as proxied:
         context = FaultContext(proxied, rng)
-        # Keepers vouch for keys that were made after their start.
+        # A keeper vouches only for keys that were created after it started.
         await asyncio.sleep(3.0)
         until = now() + seconds
         context.start_time = time.time()
--- a/caperstack/bench/weakened.py
+++ b/caperstack/bench/weakened.py
@@ -1,4 +1,4 @@
-"""Run a node with one safeguard switched off, to show that the soak notices."""
+"""Run a node with one safeguard switched off, to show that the soak detects its absence."""
 
 import sys
 
@@ -13,10 +13,13 @@
 
 
 def _without_keeper():
+    """Let keepers grant every claim, so that a key never stops a second run."""
     Keeper.claim = lambda self, message: (Verdict.GRANTED, True)
 
 
 def _without_revocation():
+    """Report a call as revoked without stopping it, so that it may run twice."""
+
     async def revoke(self, origin, number, sent_at):
         return NotRun("revoked, so it is claimed", 0.0)
 
@@ -24,6 +27,7 @@
 
 
 def _without_lateness():
+    """Switch off the detection of late messages and of pauses of the process."""
     TransitClock.lateness = lambda self, stamp, arrival: 0.0
     PauseWatch.suspect = lambda self: False
 
