--- a/caperstack/bench/__init__.py
+++ b/caperstack/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Fleets of real processes on loopback, benchmarks and the demo."""
+"""Fleets of real processes on loopback, with benchmarks, fault soaks and the demo."""
--- a/caperstack/bench/client.py
+++ b/caperstack/bench/client.py
@@ -1,4 +1,4 @@
-"""A small HTTP client for benches and tests: one request, any status is an answer."""
+"""An HTTP client for benchmarks and tests that accepts any status as an answer."""
 
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
@@ -8,7 +8,20 @@
 
 
 async def request(address, method, path, headers=None, body=b"", seconds=30.0):
-    """Return tornado's response to a request; only a missing answer raises."""
+    """Send one HTTP request.
+
+    Parameters
+    ----------
+    address : str
+        ``ip:port`` of the server.
+    seconds : float
+        The timeout of the connection and of the whole request, in seconds.
+
+    Returns
+    -------
+    response : tornado.httpclient.HTTPResponse
+        The response, whatever its status.  The call raises only if none arrives.
+    """
     client = AsyncHTTPClient(max_body_size=MAX_BODY, max_buffer_size=MAX_BODY, max_clients=10_000)
     return await client.fetch(
         HTTPRequest(
--- a/caperstack/bench/counters.py
+++ b/caperstack/bench/counters.py
@@ -10,7 +10,7 @@
 
 
 async def fleet_counters(fleet):
-    """Return a dict of metric name to its value, summed over labels and nodes."""
+    """Return a dict of metric name to value, summed over all labels and running nodes."""
     sums = {}
     for host, process in fleet.nodes.items():
         if not process.running:
@@ -22,6 +22,9 @@
 
 
 def counter_sum(before, after, name):
-    """Return by how much counter ``caperstack_<name>_total`` rose."""
+    """Return the increase of counter ``caperstack_<name>_total`` between two readings.
+
+    `before` and `after` are results of `fleet_counters`.
+    """
     key = f"caperstack_{name}_total"
     return after.get(key, 0.0) - before.get(key, 0.0)
--- a/caperstack/bench/examples.py
+++ b/caperstack/bench/examples.py
@@ -1,4 +1,4 @@
-"""The example deployments: their files, and a fleet of them on loopback."""
+"""The example deployments: their files, and fleets that run them on loopback."""
 
 import json
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 
 def example_fleet(name, **options):
-    """Return the `Fleet` of the example deployment `name`."""
+    """Return a `Fleet` of the example deployment `name`; `options` are passed to `Fleet`."""
     directory = EXAMPLES / name
     nodes = [json.loads(path.read_text()) for path in sorted((directory / "nodes").glob("*.json"))]
     subtrees = json.loads((directory / "subtrees.json").read_text())
@@ -19,5 +19,5 @@
 
 
 def example_mix(name):
-    """Return the text of the example's mix of calls."""
+    """Return the JSON text of the example's mix of calls."""
     return (EXAMPLES / name / "mix.json").read_text()
--- a/caperstack/bench/fleet.py
+++ b/caperstack/bench/fleet.py
@@ -1,4 +1,4 @@
-"""Start nodes and stand-ins as real processes on loopback, for demo, benches and tests."""
+"""Start nodes and stand-ins as real processes on loopback, for the demo, benchmarks and tests."""
 
 import asyncio
 import ctypes
@@ -23,20 +23,20 @@
 STOP_SECONDS = 60.0
 POLL_SECONDS = 0.02
 
-#: Ports below the range from which the system picks those of outgoing
-#: connections, cut into slices so that fleets of different processes differ.
+#: Ports below the range from which the system takes those of outgoing connections.
+#: They are divided into slices by process id, so that fleets in different processes rarely collide.
 FIRST_PORT = 12_000
 PORTS_PER_SLICE = 500
 PORT_SLICES = 40
 
-#: From linux/prctl.h.
+#: The option of prctl(2) that sets the signal sent on the parent's death, from linux/prctl.h.
 PR_SET_PDEATHSIG = 1
 
 _ports = itertools.count()
 
 
 def free_addresses(count):
-    """Return `count` loopback addresses on which nobody listens."""
+    """Return `count` loopback addresses on which no process listens."""
     addresses = []
     while len(addresses) < count:
         offset = (os.getpid() % PORT_SLICES) * PORTS_PER_SLICE + next(_ports) % PORTS_PER_SLICE
@@ -50,7 +50,7 @@
 
 
 def node_settings(host, zone, service, **changes):
-    """Return the start settings of a node on free ports, a dict."""
+    """Return the start settings of a node on free ports, as a dict with `changes` applied."""
     caller, peer, operator, backend = free_addresses(4)
     return {
         "host": host,
@@ -65,13 +65,23 @@
 
 
 def _kill_with_parent():
-    # A bench that is killed cannot end its processes; they would run on and
-    # spoil the figures of the next one.
+    # A killed benchmark cannot stop its processes; they would run on and distort the
+    # figures of the next one.
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class Process:
-    """One process that was started here, and its output in a file."""
+    """A child process whose output goes to a file.
+
+    Parameters
+    ----------
+    name : str
+        The name of the process and of its log file.
+    arguments : list of str
+        The module to run and its arguments.
+    directory : str
+        Where the log file is written.
+    """
 
     def __init__(self, name, arguments, directory):
         self.name = name
@@ -86,16 +96,16 @@
 
     @property
     def running(self):
-        """Whether the process has not ended."""
+        """Whether the process was started and has not exited."""
         return self._popen is not None and self._popen.poll() is None
 
     @property
     def output(self):
-        """What it has printed."""
+        """The text that the process has written to stdout and stderr."""
         return self._path.read_text(encoding="utf-8", errors="replace")
 
     def start(self):
-        """Start it."""
+        """Start the process."""
         with open(self._path, "ab") as log:
             self._popen = subprocess.Popen(
                 [sys.executable, "-m", *self._arguments],
@@ -105,32 +115,46 @@
             )
 
     def signal(self, number):
-        """Send it a signal."""
+        """Send a signal to the process if it is running."""
         if self.running:
             self._popen.send_signal(number)
 
     async def ended(self):
-        """Wait for its end; return the exit status."""
+        """Wait until the process exits; return the exit status.
+
+        Raises
+        ------
+        CaperstackError
+            If it has not exited after `STOP_SECONDS`.
+        """
         limit = deadline_after(STOP_SECONDS)
         while self.running:
             if now() > limit:
-                raise CaperstackError("did not end", step="stop", peer=self.name)
+                raise CaperstackError("did not exit in time", step="stop", peer=self.name)
             await asyncio.sleep(POLL_SECONDS)
         return self._popen.returncode
 
     def kill(self):
-        """End it at once."""
+        """Kill the process and wait until it has exited."""
         self.signal(signal.SIGKILL)
         if self.running:
             self._popen.wait()
 
     async def listening(self, address):
-        """Wait until it accepts connections at `address`."""
+        """Wait until the process accepts connections at `address`.
+
+        Raises
+        ------
+        CaperstackError
+            If it exits or does not listen within `READY_SECONDS`.
+        """
         ip, port = split_address(address)
         limit = deadline_after(READY_SECONDS)
         while now() < limit:
             if not self.running:
-                raise CaperstackError(f"ended: {self.output[-2000:]}", step="start", peer=self.name)
+                raise CaperstackError(
+                    f"exited: {self.output[-2000:]}", step="start", peer=self.name
+                )
             try:
                 _, writer = await asyncio.open_connection(ip, port)
             except OSError:
@@ -138,7 +162,7 @@
                 continue
             writer.close()
             return
-        raise CaperstackError("does not listen", step="start", peer=self.name)
+        raise CaperstackError("does not accept connections in time", step="start", peer=self.name)
 
     def cpu_seconds(self):
         """Return the processor time used so far, in seconds."""
@@ -146,26 +170,36 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def resident_bytes(self):
-        """Return the resident memory in bytes."""
+        """Return the resident memory, in bytes."""
         fields = Path(f"/proc/{self.pid}/statm").read_text().split()
         return int(fields[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 class Fleet:
-    """Nodes with their backend servers, and the platform's stand-ins.
+    """Nodes with their backend servers, and stand-ins for the platform's services.
 
     Parameters
     ----------
     nodes : list of dict
         Start settings, as `node_settings` makes them.
     subtrees : dict
-        Settings of teams, served by the configuration stand-in.
+        The settings trees of the teams by path, served by the stand-in of the configuration
+        service.
     backend : dict
         Options of the backend stand-ins: ``slots``, ``mean_ms``, ``sigma``.
     with_configuration, with_hosts : bool
-        Whether these stand-ins run; without, the start settings must do.
+        Whether these stand-ins run.  Without them, the start settings must suffice.
     node_module : tuple of str
-        The module that runs a node, and arguments before its settings.
+        The module that runs a node, and the arguments that precede the settings path.
+
+    Attributes
+    ----------
+    settings : dict of str to dict
+        The start settings of each node, by host.
+    nodes, backends : dict of str to Process
+        The processes of the nodes and of the backend servers, by host.
+    platform : dict of str to (str, Process)
+        Address and process of each stand-in of the platform, by name.
     """
 
     def __init__(
@@ -200,7 +234,7 @@
         await self.stop()
 
     async def start(self):
-        """Start everything and wait until it listens."""
+        """Start all processes and wait until they listen."""
         await self._start_platform()
         for number, host in enumerate(self.settings):
             self._start_backend(host, number)
@@ -235,7 +269,7 @@
         self.platform[name] = (address, process)
 
     def host_entries(self, leaving=()):
-        """Return the lines of the host list."""
+        """Return the entries of the host list, with the hosts in `leaving` marked as leaving."""
         return [
             {
                 "host": node["host"],
@@ -251,7 +285,7 @@
     def _start_backend(self, host, number):
         node = self.settings[host]
         for other, process in self.backends.items():
-            # Nodes of a bench may share a backend server.
+            # Several nodes of a benchmark may share one backend server.
             if self.settings[other]["backend"]["address"] == node["backend"]["address"]:
                 self.backends[host] = process
                 return
@@ -279,7 +313,7 @@
         process.start()
 
     def start_node(self, host):
-        """Start the node of `host`, again if it ended."""
+        """Start the node of `host`, for the first time or again."""
         path = self._write(f"node-{host}", self.settings[host])
         process = self._process(f"node-{host}", [*self._node_module, path])
         self.nodes[host] = process
@@ -300,7 +334,22 @@
         return str(path)
 
     async def until(self, condition, seconds=READY_SECONDS, what="condition"):
-        """Wait until ``await condition()`` is true."""
+        """Wait until ``await condition()`` is true.
+
+        Parameters
+        ----------
+        condition : callable
+            An async function of no arguments.
+        seconds : float
+            The longest wait, in seconds.
+        what : str
+            A name of the condition, for the error.
+
+        Raises
+        ------
+        CaperstackError
+            If the condition is still false afterwards.
+        """
         limit = deadline_after(seconds)
         while not await condition():
             if now() > limit:
@@ -323,24 +372,24 @@
 
         await self.until(condition, what="settings and members everywhere")
 
-    # -- what one does with a fleet ---------------------------------------
+    # -- access to the running processes ----------------------------------
 
     def caller_address(self, host):
-        """Return the address of a node's callers' port."""
+        """Return the address at which the node of `host` accepts callers."""
         return self.settings[host]["caller_address"]
 
     async def operator(self, host, path):
-        """Return the JSON that a node's operator port gives."""
+        """Return the decoded JSON document at `path` of the operator port of a node."""
         reply = await request(self.settings[host]["operator_address"], "GET", path)
         return json.loads(reply.body)
 
     async def control(self, host, **faults):
-        """Set troubles of the backend server of `host`."""
+        """Set options of the backend server of `host`, such as faults; return its response."""
         address = self.settings[host]["backend"]["address"]
         return await request(address, "POST", "/control", body=json.dumps(faults).encode())
 
     async def platform_request(self, name, method, path, document=None):
-        """Send a request to a platform stand-in; return the decoded answer."""
+        """Send a request to the stand-in `name`; return the decoded JSON answer."""
         body = b"" if document is None else json.dumps(document).encode()
         reply = await request(self.platform[name][0], method, path, body=body)
         return json.loads(reply.body or b"null")
@@ -356,7 +405,7 @@
         return found
 
     async def stop(self):
-        """Drain the nodes, end the stand-ins; return the nodes' exit statuses."""
+        """Drain the nodes and kill the stand-ins; return the nodes' exit statuses by host."""
         statuses = {}
         for process in self.nodes.values():
             process.signal(signal.SIGCONT)
@@ -369,7 +418,7 @@
         return statuses
 
     def kill_all(self):
-        """End every process that was started here."""
+        """Kill all processes of the fleet and delete its files."""
         platform = [process for _, process in self.platform.values()]
         for process in (*self.nodes.values(), *self.backends.values(), *platform):
             process.kill()
--- a/caperstack/bench/scenario.py
+++ b/caperstack/bench/scenario.py
@@ -1,4 +1,4 @@
-"""What failure tests share: a small fleet of real processes, and calls to it."""
+"""Shared parts of failure tests: small fleets of real processes, and calls to them."""
 
 import itertools
 import uuid
@@ -11,7 +11,8 @@
 
 __all__ = ["SUBTREES", "ProxiedFleet", "call", "small_fleet"]
 
-#: One service with a non-idempotent and an idempotent route, no hedges.
+#: One service with a non-idempotent route (high criticality) and an idempotent one (low),
+#: without hedging.
 SUBTREES = {
     "": {
         "services": {"bookings": {"hedge_share": 0.0}},
@@ -24,7 +25,10 @@
 
 
 def small_fleet(count=2, subtrees=SUBTREES, backend=None, service="bookings", **changes):
-    """Return a `Fleet` of `count` nodes ``n0``, ``n1``… in zones a, b, c."""
+    """Return a `Fleet` of `count` nodes ``n0``, ``n1``… spread over zones a, b and c.
+
+    `changes` are added to the settings of every node.
+    """
     nodes = [
         node_settings(f"n{i}", "abc"[i % 3], service, settings=subtrees, **changes)
         for i in range(count)
@@ -35,10 +39,17 @@
 async def call(fleet, host, method="POST", path="/bookings", key="", body=b"", milliseconds=5000):
     """Send one call through the node of `host`.
 
+    Parameters
+    ----------
+    key : str
+        The idempotency key; empty for none.
+    milliseconds : int
+        The time left that the call announces.
+
     Returns
     -------
     name, response : str, tornado.httpclient.HTTPResponse
-        The call's name in the ledgers, and what the caller was told.
+        The call's name in the ledgers, and the response that the caller received.
     """
     name = uuid.uuid4().hex
     headers = {
@@ -53,14 +64,14 @@
 
 
 class ProxiedFleet:
-    """A small fleet in which each ordered pair of nodes has a `FaultProxy` between.
+    """A small fleet with a `FaultProxy` between each ordered pair of nodes.
 
     Attributes
     ----------
     fleet : Fleet
         The nodes.
     proxies : dict of (str, str) to FaultProxy
-        The proxy on the way from the first host to the second.
+        The proxy for connections from the first host to the second.
     """
 
     def __init__(self, count=2, subtrees=SUBTREES, backend=None, node_module=None, **changes):
