--- a/caperstack/bench/tests/test_summary.py
+++ b/caperstack/bench/tests/test_summary.py
@@ -45,7 +45,7 @@
         self.end("a.TestA.test_b", "passed")
         self.assertEqual(self.printed()[0], f"listed as red, passes now: {ENTRY}")
 
-    def test_other_tests_fail_as_before(self):
+    def test_unlisted_test_that_fails_counts_as_failed(self):
         event = self.end("a.TestA.test_c", "failed")
         self.assertEqual(
             (event.expected, self.printed()), (False, ["0 passed, 1 failed, 0 skipped"])
