--- a/caperstack/bench/demo.py
+++ b/caperstack/bench/demo.py
@@ -1,4 +1,4 @@
-"""The demo: an example deployment with stand-ins, one drain and one slowdown."""
+"""The demo: an example deployment with stand-ins, one slow server and one drained node."""
 
 import argparse
 import asyncio
@@ -23,14 +23,16 @@
 def _parser():
     parser = argparse.ArgumentParser(prog="demo", description=__doc__)
     parser.add_argument("--example", default="tee-times", choices=("tee-times", "tatra"))
-    parser.add_argument("--rate", type=float, default=150.0, help="calls a second")
+    parser.add_argument("--rate", type=float, default=150.0, help="calls per second")
     parser.add_argument("--seconds", type=float, default=10.0)
-    parser.add_argument("--serve", action="store_true", help="leave it running, drive no calls")
+    parser.add_argument(
+        "--serve", action="store_true", help="keep the deployment running and send no calls"
+    )
     return parser
 
 
 async def _inject_faults(fleet, seconds):
-    """Slow one backend server down for a while, then drain another node."""
+    """Slow one backend server down for a while, then drain another node; return its exit status."""
     hosts = sorted(fleet.settings)
     slow, leaving = hosts[-1], hosts[0]
     await asyncio.sleep(seconds * 0.2)
@@ -38,21 +40,23 @@
     await fleet.control(slow, slow_factor=10.0)
     await asyncio.sleep(seconds * 0.3)
     await fleet.control(slow, slow_factor=1.0)
-    print(f"-- {slow}: back to its pace; {leaving}: drains")
+    print(f"-- {slow}: back to normal speed; {leaving}: drains")
     fleet.nodes[leaving].signal(15)
     return await fleet.nodes[leaving].ended()
 
 
 async def _show_timeline(fleet, since):
+    """Print the first events of all nodes since the time `since`, in microseconds."""
     addresses = [node["operator_address"] for node in fleet.settings.values()]
     events = merged(await fetch_events(addresses, f"?after={since}"))
     shown = min(TIMELINE_LINES, len(events))
-    print(f"\nTime line, the first {shown} of {len(events)} events since calls began:")
+    print(f"\nTime line, the first {shown} of {len(events)} events since the calls began:")
     for line in text_lines(events[:TIMELINE_LINES]):
         print(line)
 
 
 async def _run_calls(fleet, options):
+    """Send calls while faults are injected; return whether the guarantees held."""
     hosts = sorted(fleet.settings)
     targets = [fleet.caller_address(host) for host in hosts[1:]]
     classes = parse_mix(example_mix(options.example))
@@ -64,7 +68,7 @@
     figures = figures_of(results)
     judgement = judge(results, merged_ledger(await fleet.ledgers()))
     print(table_of(figures))
-    print(f"\nPromises: {judgement}; the drained node ended with status {status}")
+    print(f"\nPromises: {judgement}; the drained node exited with status {status}")
     await _show_timeline(fleet, since)
     answered = figures["all"].outcomes["answered"]
     truthful = judgement.clean and not figures["all"].outcomes["no answer"]
@@ -72,6 +76,7 @@
 
 
 async def _serve(fleet, example):
+    """Print requests to try, and run until interrupted."""
     first = min(fleet.settings)
     node = fleet.settings[first]
     paths = [kind["path"] for kind in json.loads(example_mix(example))["classes"]]
@@ -87,8 +92,8 @@
 async def _run(options):
     async with example_fleet(options.example, backend=BACKEND) as fleet:
         await fleet.settled()
-        # Keepers vouch for keys that were made after their start, and the
-        # clocks of callers and hosts may differ.
+        # A keeper vouches only for keys created after it started.  The margin covers clocks of
+        # callers and hosts that differ.
         await asyncio.sleep(KEEPER_START_SECONDS)
         if options.serve:
             await _serve(fleet, options.example)
--- a/caperstack/bench/hop.py
+++ b/caperstack/bench/hop.py
@@ -1,4 +1,4 @@
-"""make bench-hop: what one and two hops add to a direct call, in one interleaved run."""
+"""make bench-hop: latency that one and two hops add to a direct call, measured interleaved."""
 
 import argparse
 import asyncio
@@ -14,7 +14,8 @@
 
 __all__ = ["main"]
 
-#: Regression bounds: the added median as a multiple of the direct call's median.
+#: Regression bounds: the latency that the hops add to the median of a direct call, as a multiple
+#: of that median.
 MAX_ONE_HOP_OVERHEAD = 2.5
 MAX_TWO_HOPS_OVERHEAD = 5.0
 
@@ -37,7 +38,7 @@
 
 @dataclass
 class _Path:
-    """One way to the answer, and the latencies of its calls in seconds."""
+    """A route to the backend server, and the latencies of its calls in seconds."""
 
     name: str
     address: str
@@ -62,6 +63,7 @@
 
 
 async def _measure(paths, rounds):
+    """Send rounds of calls over the paths in turn and collect their latencies."""
     for number in range(rounds + 1):
         for path in paths:
             for _ in range(ROUND_CALLS):
@@ -69,13 +71,13 @@
                 answer = await path.client.fetch(_call(path.target))
                 if answer.status != 200:
                     raise RuntimeError(f"{path.name}: status {answer.status}")
-                # The first round warms connections and estimates up.
+                # The first round only opens connections and warms up the load estimates.
                 if number:
                     path.latencies.append(now() - started)
 
 
 async def _processor_times(fleet, paths, rounds):
-    """Return processor milliseconds per call of each role, by path."""
+    """Return the processor milliseconds per call of each process, by path."""
     processes = {"entry": fleet.nodes["a"], "owner": fleet.nodes["b"]}
     processes |= {"backend a": fleet.backends["a"], "backend b": fleet.backends["b"]}
     times = {}
@@ -107,6 +109,7 @@
 
 
 def _figures(paths, times):
+    """Return median, p99 and processor time of each path, by name."""
     figures = {}
     for path in paths:
         histogram = latency_histogram(path.latencies)
@@ -119,6 +122,7 @@
 
 
 def _report(figures):
+    """Print the measurements; return whether the hops meet their bounds."""
     direct = figures["direct"]
     for name, one in figures.items():
         added = one["median_ms"] - direct["median_ms"]
@@ -141,7 +145,7 @@
 def main(arguments=None):
     """Run the command line; return the exit status."""
     parser = argparse.ArgumentParser(prog="bench-hop", description=__doc__)
-    parser.add_argument("--rounds", type=int, default=20, help="rounds of 100 calls each way")
+    parser.add_argument("--rounds", type=int, default=20, help="rounds of 100 calls over each path")
     parser.add_argument("--json", help="write the figures to this file")
     options = parser.parse_args(arguments)
     figures = _figures(*asyncio.run(_run(options)))
--- a/caperstack/bench/idle.py
+++ b/caperstack/bench/idle.py
@@ -1,4 +1,4 @@
-"""make bench-idle: a thousand idle callers and 500 calls a second through one node."""
+"""make bench-idle: one node with 1000 idle callers and 500 calls per second."""
 
 import argparse
 import asyncio
@@ -19,7 +19,7 @@
 
 
 async def _idle_caller(address):
-    """Open a connection, make one call on it, and keep it."""
+    """Open a connection, send one call on it, and keep it open."""
     reader, writer = await asyncio.open_connection(*split_address(address))
     writer.write(REQUEST)
     await reader.readuntil(b"\r\n\r\n")
@@ -27,6 +27,7 @@
 
 
 async def _run(options):
+    """Run the load; return whether all calls were answered within the memory bound."""
     async with Fleet([node_settings("n0", "a", "s")], SUBTREES) as fleet:
         await fleet.settled()
         address = fleet.caller_address("n0")
@@ -50,7 +51,7 @@
 def main(arguments=None):
     """Run the command line; return the exit status."""
     parser = argparse.ArgumentParser(prog="bench-idle", description=__doc__)
-    parser.add_argument("--rate", type=float, default=500.0, help="calls a second")
+    parser.add_argument("--rate", type=float, default=500.0, help="calls per second")
     parser.add_argument("--seconds", type=float, default=30.0)
     return 0 if asyncio.run(_run(parser.parse_args(arguments))) else 1
 
--- a/caperstack/bench/overload.py
+++ b/caperstack/bench/overload.py
@@ -1,4 +1,4 @@
-"""make bench-overload: twice the capacity for a while, then 60 %; what is served and recovers."""
+"""make bench-overload: service under twice the capacity, and recovery at 60 % of it."""
 
 import argparse
 import asyncio
@@ -18,19 +18,24 @@
 LEVEL_SECONDS = 0.03
 SIGMA = 0.5
 
-#: Calls a second and seconds of the light load that shows what a tree takes.
+#: Rate (calls per second) and duration of the light load that measures how long a tree of
+#: nested calls takes.
 LIGHT_RATE = 10.0
 LIGHT_SECONDS = 6.0
 
+#: Load of each phase as a share of the capacity.
 LOAD_BEFORE, LOAD_DURING, LOAD_AFTER = 0.6, 2.0, 0.6
 BEFORE_SECONDS = 6.0
 AFTER_SECONDS = 12.0
 WINDOW_SECONDS = 0.5
 
-#: Regression bounds.
+#: Regression bounds: runs of the most called level per run of the first, seconds until the
+#: latency is normal again, and the share of bookings served in time under overload.
 MAX_AMPLIFICATION = 1.1
 MAX_RECOVERY_SECONDS = 2.0
 MIN_BOOKINGS_IN_TIME = 0.9
+
+#: A median latency up to this multiple of the median before the overload is normal.
 NORMAL_LATENCY_FACTOR = 1.5
 
 KINDS = [
@@ -43,6 +48,8 @@
 
 @dataclass
 class _Phase:
+    """A phase of the load: its times in seconds and its share of the capacity."""
+
     name: str
     begin: float
     end: float
@@ -50,25 +57,26 @@
 
 
 def _phases(seconds):
+    """Return the phases before, during and after an overload of `seconds`."""
     first = _Phase("before", 0.0, BEFORE_SECONDS, LOAD_BEFORE)
     second = _Phase("overload", first.end, first.end + seconds, LOAD_DURING)
     return [first, second, _Phase("after", second.end, second.end + AFTER_SECONDS, LOAD_AFTER)]
 
 
 async def _capacity(targets):
-    """Return the calls a second that the first level can carry.
+    """Return the calls per second that the first level can serve.
 
     Notes
     -----
-    It holds a slot for as long as the whole tree below takes, so what a tree
-    takes under light load bounds the capacity.
+    A call holds a slot of the first level until the whole tree below it is done, so the duration
+    of a tree under light load bounds the capacity.
     """
     results = await run_calls(plan_calls(KINDS, targets, LIGHT_RATE, LIGHT_SECONDS, seed=9))
     return SERVERS * SLOTS / statistics.mean(result.seconds for result in results)
 
 
 def _plan(phases, targets, capacity):
-    """Yield the calls of all phases in order."""
+    """Yield the planned calls of all phases in order."""
     for number, phase in enumerate(phases):
         rate = phase.load * capacity
         seconds = phase.end - phase.begin
@@ -78,6 +86,7 @@
 
 
 def _subtrees():
+    """Return settings with one service per level and two routes (low and high) to each."""
     services = {f"l{level}": {} for level in range(LEVELS)}
     routes = []
     for level in range(LEVELS):
@@ -90,16 +99,21 @@
 
 
 def _results_in(phase, results):
+    """Return the results of the calls due in `phase`."""
     return [r for r in results if phase.begin <= r.due < phase.end]
 
 
 def _share_in_time(results, kind):
+    """Return the share of the calls of one kind that were answered before their deadline."""
     own = [r for r in results if r.kind == kind]
     return sum(r.status == 200 and not r.late for r in own) / len(own)
 
 
 def _recovery_seconds(phase, results, normal):
-    """Return when, after the phase began, a window's median was normal again and stayed so."""
+    """Return the seconds from the start of `phase` until the median latency stayed normal.
+
+    A window also counts as not recovered if fewer than 90 % of its calls were answered.
+    """
     recovered = 0.0
     steps = int((phase.end - phase.begin) / WINDOW_SECONDS)
     for step in range(steps):
@@ -113,7 +127,7 @@
 
 
 async def _level_runs(fleet):
-    """Return how many calls ran at each level."""
+    """Return the number of calls that ran at each level."""
     runs = [0] * LEVELS
     for host, ledger in (await fleet.ledgers()).items():
         runs[int(host[1])] += ledger["runs"]
@@ -121,6 +135,7 @@
 
 
 async def _run(seconds):
+    """Run the load; return the phases, the results and the runs at each level."""
     nodes = [
         node_settings(f"l{level}-{server}", "z", f"l{level}")
         for level in range(LEVELS)
@@ -138,7 +153,7 @@
 
 
 def _report(phases, results, runs):
-    """Print the figures; return whether they meet the bounds."""
+    """Print the measurements; return whether they meet the bounds."""
     for phase in phases:
         own = _results_in(phase, results)
         answered = [r.seconds for r in own if r.status == 200]
@@ -166,7 +181,9 @@
 def main(arguments=None):
     """Run the command line; return the exit status."""
     parser = argparse.ArgumentParser(prog="bench-overload", description=__doc__)
-    parser.add_argument("--seconds", type=float, default=20.0, help="of the overload")
+    parser.add_argument(
+        "--seconds", type=float, default=20.0, help="duration of the overload in seconds"
+    )
     options = parser.parse_args(arguments)
     good = _report(*asyncio.run(_run(options.seconds)))
     print("ok" if good else "MISSED")
--- a/caperstack/bench/routing.py
+++ b/caperstack/bench/routing.py
@@ -1,4 +1,4 @@
-"""make bench-routing: the policies side by side under load and trouble, with an oracle."""
+"""make bench-routing: compare routing policies and an oracle under load and faults."""
 
 import argparse
 import asyncio
@@ -31,7 +31,8 @@
 POLICIES = ("random", "round_robin", "least_reported", "power_of_two", "load_aware", "oracle")
 SCENARIOS = ("calm", "slow", "failing", "cold", "lying")
 
-#: Regression bounds, as ratios within one run.
+#: Regression bounds: ratios of p99 latencies within one run, and probes of a server per
+#: second (reads of its health or load).
 MAX_P99_TO_ORACLE = 1.3
 MAX_P99_TO_POWER_OF_TWO = 0.5
 MAX_MEASURING_PER_SECOND = 1.0
@@ -43,7 +44,7 @@
 
 @dataclass
 class Row:
-    """The figures of one policy in one scenario."""
+    """The results of one policy in one scenario."""
 
     load: float
     scenario: str
@@ -59,11 +60,12 @@
     measuring_per_second: float
 
 
-#: A baseline is the policy alone: no moves, no retries, no hedges.
+#: Settings of the baseline policies: no other server after a refusal, no retries, no hedges.
 _POLICY_ONLY = {"refusals_per_call": 0, "retry_share": 0.0, "hedge_share": 0.0}
 
 
 def _subtree(policy):
+    """Return the settings that route all calls by `policy`."""
     extras = {} if policy == "load_aware" else _POLICY_ONLY
     return {
         "services": {"s": {"policy": policy} | extras},
@@ -72,7 +74,7 @@
 
 
 class _Oracle:
-    """Calls servers directly, knowing each one's calls in flight and its trouble."""
+    """A client that sends calls to servers directly and knows their load and faults."""
 
     def __init__(self, fleet, faults):
         self._hosts = sorted(fleet.settings)
@@ -86,13 +88,17 @@
         }
 
     def _cost(self, host):
+        """Return the expected slowness of a server and, to break ties, its calls in flight.
+
+        The cost of a failing server is infinite.
+        """
         if host in self._faults.failing:
             return float("inf")
         occupancy = max(1.0, (self._in_flight[host] + 1) / SLOTS)
         return (occupancy * self._faults.slowdown.get(host, 1.0), self._in_flight[host])
 
     async def fetch(self, call):
-        """Return the answer of the best server."""
+        """Send a call to the server of the least cost; return its answer."""
         usable = [host for host in self._hosts if host not in self._faults.failing]
         host = min(usable, key=self._cost)
         self._in_flight[host] += 1
@@ -103,7 +109,7 @@
 
 
 class _RandomNodeClient:
-    """Calls nodes at random, as callers do."""
+    """A client that sends each call to a random node, as callers do."""
 
     def __init__(self, fleet, rng):
         self._rng = rng
@@ -113,12 +119,20 @@
         ]
 
     async def fetch(self, call):
-        """Return the answer of some node."""
+        """Send a call to a random node; return its answer."""
         return await self._rng.choice(self._clients).fetch(call)
 
 
 class _ServerFaults:
-    """The scenario's trouble of one server, as set and as the oracle knows it."""
+    """The faults of a scenario, as set in the servers and as known to the oracle.
+
+    Attributes
+    ----------
+    slowdown : dict of str to float
+        The factor by which calls take longer on a host; 1.0 for hosts not listed.
+    failing : set of str
+        The hosts whose server fails every call.
+    """
 
     def __init__(self, fleet, scenario):
         self._fleet = fleet
@@ -128,7 +142,7 @@
         self.failing = set()
 
     async def run(self):
-        """Bring the trouble about until cancelled."""
+        """Inject the faults until cancelled."""
         control = self._fleet.control
         if self._scenario == "failing":
             self.failing.add(self._host)
@@ -149,7 +163,7 @@
             await asyncio.sleep(FAST_SECONDS)
 
     async def end(self):
-        """Take all trouble away."""
+        """Remove all faults."""
         for host in self._fleet.settings:
             await self._fleet.control(
                 host,
@@ -177,6 +191,7 @@
 
 
 async def _one_call(path, due, latencies, failures):
+    """Send a call and add its time since `due`, in seconds, to one of the two lists."""
     try:
         answer = await path.fetch(_call())
     except BackendError:
@@ -186,7 +201,13 @@
 
 
 async def _send_calls(path, rate, seconds, rng):
-    """Return times of answered, of failed and of warm-up calls, three lists."""
+    """Send calls with Poisson arrivals for a warm-up and then for `seconds`.
+
+    Returns
+    -------
+    latencies, failures, warm : list of float
+        Times in seconds of the answered, the failed and the warm-up calls.
+    """
     latencies, failures, warm, tasks = [], [], [], set()
     start = due = now()
     while due < start + WARM_SECONDS + seconds:
@@ -203,6 +224,7 @@
 
 
 async def _set_policy(fleet, policy):
+    """Set the policy of the service and wait until every node has it in force."""
     document = await fleet.platform_request(
         "configuration", "PUT", "/v1/subtrees/", _subtree(policy)
     )
@@ -218,6 +240,7 @@
 
 
 async def _measure(fleet, policy, scenario, load, seconds, seed):
+    """Run one policy in one scenario at one load; return its `Row`."""
     rng = random.Random(seed)
     faults = _ServerFaults(fleet, scenario)
     if policy != "oracle":
@@ -239,12 +262,13 @@
 
 
 def _row(load, scenario, policy, times, counters, ledgers, elapsed):
+    """Compute the `Row` from the times of the calls and readings before and after them."""
     latencies, failures, warm = times
     histogram = latency_histogram(latencies)
     calls = len(latencies) + len(failures)
     first, last = ledgers
     runs = sum(last[h]["runs"] - first[h]["runs"] for h in last)
-    # A window of some seconds may hold one reading more than its rate.
+    # An interval of a few seconds may contain one probe more than the rate allows.
     measuring = [(last[h]["measured"] - first[h]["measured"] - 1) / elapsed for h in last]
     late = sum(latency > LATE_SECONDS for latency in latencies) + len(failures)
     refusals = counter_sum(*counters, "refusals") if policy != "oracle" else 0
@@ -274,7 +298,7 @@
 
 
 def _check_bounds(rows):
-    """Print what misses its bound; return whether nothing does."""
+    """Print each comparison with its bound; return whether all are met."""
     found = {(row.load, row.scenario, row.policy): row for row in rows}
     good = True
     for (load, scenario, policy), row in found.items():
@@ -313,7 +337,9 @@
 def main(arguments=None):
     """Run the command line; return the exit status."""
     parser = argparse.ArgumentParser(prog="bench-routing", description=__doc__)
-    parser.add_argument("--seconds", type=float, default=8.0, help="of each policy and scenario")
+    parser.add_argument(
+        "--seconds", type=float, default=8.0, help="seconds of load for each policy and scenario"
+    )
     parser.add_argument("--loads", type=float, nargs="+", default=[0.7, 0.9])
     parser.add_argument("--scenarios", nargs="+", choices=SCENARIOS, default=SCENARIOS)
     parser.add_argument("--policies", nargs="+", choices=POLICIES, default=POLICIES)
--- a/caperstack/bench/settings.py
+++ b/caperstack/bench/settings.py
@@ -1,4 +1,4 @@
-"""make bench-settings: how fast a change is in force, and what an idle node costs."""
+"""make bench-settings: time until a settings change is in force, and cost of an idle node."""
 
 import argparse
 import asyncio
@@ -34,7 +34,7 @@
 
 @dataclass
 class FleetFigures:
-    """What was measured of a fleet of one size."""
+    """The measurements of a fleet of one size."""
 
     nodes: int
     in_force_median_s: float
@@ -47,7 +47,7 @@
 
 
 async def _time_change(fleet, number):
-    """Make a change; return the seconds until each node had it in force."""
+    """Make a settings change; return the seconds until it was in force, for each node."""
     document = SUBTREES["t"] | {"defaults": {"key_window_seconds": 100 + number}}
     reply = await fleet.platform_request("configuration", "PUT", "/v1/subtrees/t", document)
     accepted = time.time()
@@ -68,11 +68,19 @@
 
 
 async def _platform_calls(fleet):
+    """Return the number of requests that the configuration service has received."""
     return (await fleet.platform_request("configuration", "GET", "/calls"))["calls"]
 
 
 async def _idle_cost(fleet):
-    """Return platform reads, bytes, processor share and memory of idle nodes."""
+    """Measure idle nodes for `IDLE_SECONDS`.
+
+    Returns
+    -------
+    reads, traffic, processor_share, memory : float
+        Platform reads per second of the fleet, and the averages per node of bytes sent to peers
+        per second, share of a processor core used and resident memory in MB.
+    """
     started, calls = now(), await _platform_calls(fleet)
     before = await fleet_counters(fleet)
     processor = [process.cpu_seconds() for process in fleet.nodes.values()]
@@ -114,6 +122,7 @@
 
 
 def _meets_bounds(figures):
+    """Return whether the measurements meet all regression bounds."""
     return (
         figures.in_force_worst_s <= MAX_IN_FORCE_SECONDS
         and figures.processor_share <= MAX_PROCESSOR_SHARE
--- a/caperstack/bench/slopes.py
+++ b/caperstack/bench/slopes.py
@@ -1,4 +1,4 @@
-"""make bench-slopes: what a call, a host, a service, a key and a settings byte cost."""
+"""make bench-slopes: marginal cost of a call, host, service, key, peer and settings byte."""
 
 import argparse
 import asyncio
@@ -41,7 +41,15 @@
 
 @dataclass
 class Slope:
-    """A line through measured points."""
+    """A least-squares line through measured points.
+
+    Attributes
+    ----------
+    name, unit : str
+        What the line measures, and the unit of its slope.
+    points : list of (float, float)
+        The size of the load and the cost measured at it.
+    """
 
     name: str
     unit: str
@@ -54,14 +62,21 @@
         return line.slope, line.intercept
 
     def show(self):
-        """Print points and fit."""
+        """Print the points and the fitted line."""
         slope, intercept = self.fit
         points = ", ".join(f"({x:g}, {y:.6g})" for x, y in self.points)
         print(f"{self.name}: {slope:.4g} {self.unit}, from {intercept:.4g}; points {points}")
 
 
 async def _usage(fleet, host, seconds, during=None):
-    """Return processor share, memory in bytes and peer bytes a second of one node."""
+    """Measure one node for `seconds`, or while the awaitable `during` runs.
+
+    Returns
+    -------
+    share, memory, traffic : float
+        The processor share and the resident bytes of the node, and the bytes per second that all
+        nodes send to peers.
+    """
     process = fleet.nodes[host]
     started, used = now(), process.cpu_seconds()
     before = await fleet_counters(fleet)
@@ -73,7 +88,7 @@
 
 
 async def _per_call():
-    """Return slopes of processor seconds per call: entry, owner, keyed booking."""
+    """Return the slopes of processor time per call for entry, owner and keyed bookings."""
     entry = Slope("entry, per call to another node", "processor s per call")
     owner = Slope("owner, per call", "processor s per call")
     keyed = Slope("entry and owner, per keyed booking on one node", "processor s per call")
@@ -100,7 +115,7 @@
 
 
 def _listed(count):
-    """Return host list lines of hosts that nobody calls."""
+    """Return `count` entries of the host list whose hosts receive no calls."""
     return [
         {
             "host": f"listed-{i}",
@@ -115,7 +130,7 @@
 
 
 async def _per_host():
-    """Return slopes over the length of the host list: processor share and memory."""
+    """Return the slopes of processor share and memory over the length of the host list."""
     share = Slope("any node, per listed host", "of a core per host")
     memory = Slope("any node, per listed host", "bytes per host")
     for count in HOST_COUNTS:
@@ -147,7 +162,7 @@
 
 
 async def _per_settings_byte():
-    """Return the slope of memory over the bytes of all subtrees."""
+    """Return the slope of memory over the total size of the subtrees in bytes."""
     memory = Slope("any node, per byte of settings", "bytes per byte")
     line = len(json.dumps({"path": "/x/00000", "service": "x"}))
     for size in SETTINGS_BYTES:
@@ -163,7 +178,7 @@
 
 
 async def _per_peer():
-    """Return slopes over the links that a node keeps open: share and bytes a second."""
+    """Return the slopes of processor share and traffic over the open links of a node."""
     share = Slope("entry, per open link without calls", "of a core per link")
     traffic = Slope("both ends together, per open link without calls", "bytes/s per link")
     for count in PEER_COUNTS:
@@ -183,8 +198,8 @@
 
 
 def _per_key():
-    """Return the slope of a keeper's memory over the keys that it remembers."""
-    # In this process: a node would be told nothing but claims, one for each key.
+    """Return the slope of a keeper's memory over the number of keys it stores."""
+    # Measured in this process: a separate node would receive only claims, one for each key.
     slope = Slope("keeper, per key remembered", "bytes per key")
     rng = random.Random(1)
     for count in (1_000, 10_000, 50_000):
@@ -193,6 +208,7 @@
 
 
 def _keeper_bytes(count, rng):
+    """Return the bytes that a keeper allocates for `count` claims."""
     tracemalloc.start()
     keeper = Keeper(SimpleNamespace(host="a"))
     services = {"members": _NoMembers(), "metrics": _NoMetrics()}
@@ -206,17 +222,21 @@
 
 
 class _NoMembers:
+    """Members with one fixed host."""
+
     def listen(self, listener):
-        """Nobody comes or goes."""
+        """Ignore the listener: the members never change."""
 
     def of_service(self, service):
-        """Return the one member."""
+        """Return the only member."""
         return [SimpleNamespace(host="a")]
 
 
 class _NoMetrics:
+    """Metrics that record nothing."""
+
     def count(self, *_, **__):
-        """Count nothing."""
+        """Do nothing."""
 
 
 MEASURES = {
--- a/caperstack/bench/summary.py
+++ b/caperstack/bench/summary.py
@@ -1,4 +1,4 @@
-"""A nose2 plugin that ends a test run with one line of counts, and passes over known faults."""
+"""A nose2 plugin that tolerates the failures of listed tests and prints one line of counts."""
 
 from pathlib import Path
 
@@ -7,17 +7,20 @@
 
 __all__ = ["Summary", "read_known_red"]
 
-#: The tests that fail for a fault that is known, one a line; its first column is the test.
+#: The list of tests that fail for a known fault, one per line; the test is the first column.
 KNOWN_RED = Path("KNOWN-RED.txt")
 
-# Two runs over the same code must give the same verdict: examples come from
-# the test's own name and not from chance or from a file of earlier runs.
+# Two runs over the same code must give the same result, so hypothesis derives its examples
+# from each test and uses neither randomness nor a database of earlier runs.
 hypothesis.settings.register_profile("repeatable", derandomize=True, database=None, deadline=None)
 hypothesis.settings.load_profile("repeatable")
 
 
 def read_known_red(path=KNOWN_RED):
-    """Return the lines of the file at `path` by the name of their test; none without a file."""
+    """Return the entries of the list at `path` as a dict of test name to line.
+
+    The dict is empty if the file does not exist.
+    """
     if not path.exists():
         return {}
     lines = path.read_text(encoding="utf-8").splitlines()
@@ -30,9 +33,9 @@
 
     Notes
     -----
-    A listed test runs like any other.  If it fails, the run does not fail for
-    it, and it is printed with its line; if it passes, it is printed as one to
-    take off the list.  Both count as skipped.
+    A listed test runs like any other.  If it fails, the run still succeeds and the test is printed
+    with its entry.  If it passes, it is printed as one to remove from the list.  Both count as
+    skipped.
     """
 
     configSection = "summary"  # noqa: N815 (nose2's name)
@@ -43,7 +46,7 @@
         self._listed = {}
 
     def setTestOutcome(self, event):  # noqa: N802 (nose2's name)
-        """Expect a listed test to fail."""
+        """Mark the failure of a listed test as expected."""
         if event.test.id() not in self._known:
             return
         if event.outcome in ("failed", "error"):
@@ -54,7 +57,7 @@
             self._listed.setdefault(event.test.id(), "listed as red, passes now")
 
     def testOutcome(self, event):  # noqa: N802 (nose2's name)
-        """Count one test."""
+        """Count the outcome of one test."""
         if event.outcome == "skipped" or event.test.id() in self._listed:
             self._counts["skipped"] += 1
         elif event.outcome == "passed" and event.expected:
@@ -63,7 +66,7 @@
             self._counts["failed"] += 1
 
     def afterSummaryReport(self, event):  # noqa: N802 (nose2's name)
-        """Print the listed tests and the line."""
+        """Print the listed tests and the line of counts."""
         for name, how in self._listed.items():
             event.stream.writeln(f"{how}: {self._known[name]}")
         counts = ", ".join(f"{number} {name}" for name, number in self._counts.items())
--- a/caperstack/bench/tests/test_summary.py
+++ b/caperstack/bench/tests/test_summary.py
@@ -1,4 +1,4 @@
-"""What a listed test does to a run."""
+"""Test how the tests listed in KNOWN-RED.txt affect the result of a run."""
 
 import tempfile
 import unittest
--- a/caperstack/bench/transports.py
+++ b/caperstack/bench/transports.py
@@ -1,4 +1,4 @@
-"""make bench-transports: ways to carry a call between nodes, as echoes, interleaved."""
+"""make bench-transports: compare transports between nodes by echoing calls, interleaved."""
 
 import argparse
 import asyncio
@@ -67,7 +67,7 @@
 _SERVERS = {"frames": _serve_frames, "grpc": _serve_grpc, "http": _serve_http}
 
 
-# -- callers: each yields an async function that makes one call -----------------
+# -- callers: each returns an async function that sends one call ----------------
 
 
 async def _frames_caller(address):
@@ -120,6 +120,10 @@
 
 
 async def _measure(addresses, rounds):
+    """Send rounds of calls over the transports in turn; return the latencies by name.
+
+    The first round only warms up and is not counted.
+    """
     callers = {name: await make(addresses[server]) for name, (server, make) in _CALLERS.items()}
     latencies = {name: [] for name in callers}
     for number in range(rounds + 1):
@@ -133,6 +137,7 @@
 
 
 async def _run(rounds):
+    """Start an echo server per transport, measure them, and stop the servers."""
     with tempfile.TemporaryDirectory() as directory:
         addresses = dict(zip(_SERVERS, free_addresses(len(_SERVERS)), strict=True))
         processes = [
@@ -152,7 +157,9 @@
 def main(arguments=None):
     """Run the command line; return the exit status."""
     parser = argparse.ArgumentParser(prog="bench-transports", description=__doc__)
-    parser.add_argument("--rounds", type=int, default=20, help="rounds of 100 calls each way")
+    parser.add_argument(
+        "--rounds", type=int, default=20, help="rounds of 100 calls over each transport"
+    )
     parser.add_argument("--serve", nargs=2, metavar=("KIND", "ADDRESS"), help=argparse.SUPPRESS)
     options = parser.parse_args(arguments)
     if options.serve:
