--- a/examples/gallery/budget.py
+++ b/examples/gallery/budget.py
@@ -1,4 +1,4 @@
-"""What retries cost a tree of calls seven deep, with and without halving at each level."""
+"""Show the load that retries add at the lowest of seven levels, with and without halving."""
 
 from caperstack.routing.budgets import share_at_depth
 
--- a/examples/gallery/keepers.py
+++ b/examples/gallery/keepers.py
@@ -1,4 +1,4 @@
-"""Which hosts keep an idempotency key, and how few keys move when a host is replaced."""
+"""Show which hosts keep an idempotency key, and how few keys move when a host is replaced."""
 
 from caperstack.idempotency.keeper import keepers_of
 
--- a/examples/gallery/lateness.py
+++ b/examples/gallery/lateness.py
@@ -1,7 +1,8 @@
-"""How a late message shows, though the two clocks have nothing to do with each other."""
+"""Show how late messages are detected although the clocks of the hosts are not synchronised."""
 
 from caperstack.clock import TransitClock
 
+#: How far the clock of the sender is ahead, in seconds.
 SENDER_AHEAD = 12_345.0
 
 clock = TransitClock()
--- a/examples/gallery/routes.py
+++ b/examples/gallery/routes.py
@@ -1,4 +1,4 @@
-"""What follows from a settings tree: the route of a request, and what is left out."""
+"""Show what a settings tree compiles to: the route of a request, and the parts left out."""
 
 from caperstack.config.tree import parse_subtree
 from caperstack.settings.compile import compile_tree
