--- a/caperstack/bench/proxy.py
+++ b/caperstack/bench/proxy.py
@@ -1,4 +1,4 @@
-"""A fault-injecting TCP proxy between two nodes, in the process of the test."""
+"""A TCP proxy between two nodes that injects faults, run in the process of the test."""
 
 import asyncio
 import random
@@ -9,28 +9,30 @@
 from caperstack.peers.frames import FrameDecoder, encode_frame
 from caperstack.peers.messages import Hello
 
-__all__ = ["FaultProxy", "Faults"]
+__all__ = ["FaultProxy", "FrameFaults"]
 
 READ_BYTES = 64 * 1024
 
-#: How long a frame that is overtaken is held back.
+#: Delay of a reordered frame, in seconds, so that later frames overtake it.
 REORDER_SECONDS = 0.05
 
 
 @dataclass
-class Faults:
-    """What happens to the frames of one direction.
+class FrameFaults:
+    """Faults injected into the frames of one direction.
 
     Attributes
     ----------
     hold : bool
-        Nothing gets through until it is released, as in a partition.
+        Whether all frames wait until this is cleared, as in a partition.
     delay_seconds : float
-        Each frame is late by this.
+        The delay of each frame, in seconds.
     lose, duplicate, reorder : float
-        Shares of frames; the hello is never touched.
+        The share of frames that are lost, sent twice or reordered.  A `Hello` is never affected.
     kinds : tuple of type
-        The messages concerned by ``lose``, ``duplicate`` and ``reorder``; empty for all.
+        The message classes that ``lose``, ``duplicate`` and ``reorder`` apply to; all if empty.
+    injected : dict of str to int
+        How often each fault was injected.
     """
 
     hold: bool = False
@@ -41,8 +43,8 @@
     kinds: tuple = ()
     injected: dict = field(default_factory=dict)
 
-    def chance(self, name, message, rng):
-        """Return whether fault `name` strikes `message`, and count it."""
+    def should_inject(self, name, message, rng):
+        """Decide at random whether fault `name` is injected into `message`, and count it if so."""
         share = getattr(self, name)
         if not share or isinstance(message, Hello):
             return False
@@ -55,21 +57,21 @@
 
 
 class FaultProxy:
-    """Forward connections to `target` through two `Faults`.
+    """Forward connections to a node and inject faults in both directions.
 
     Parameters
     ----------
     target : str
-        The peer address of the node behind it.
+        The peer address of the node behind the proxy.
     seed : int
-        Of the chance in it.
+        The seed of its random choices.
 
     Attributes
     ----------
     address : str
-        Where it listens.
-    calls, answers : Faults
-        Towards the target, and back from it.
+        The address on which the proxy listens.
+    calls, answers : FrameFaults
+        The faults of frames to the target and back from it.
     """
 
     def __init__(self, target, seed=0):
@@ -78,16 +80,16 @@
         self._server = None
         self._writers = set()
         self.address = free_addresses(1)[0]
-        self.calls = Faults()
-        self.answers = Faults()
+        self.calls = FrameFaults()
+        self.answers = FrameFaults()
 
     async def start(self):
-        """Listen."""
+        """Start to listen."""
         ip, port = split_address(self.address)
         self._server = await asyncio.start_server(self._accept, ip, port)
 
     async def stop(self):
-        """Stop and cut all connections."""
+        """Stop listening and reset all connections."""
         self._server.close()
         self.cut()
 
@@ -97,7 +99,7 @@
             writer.transport.abort()
 
     def partition(self, held=True):
-        """Hold both directions, or release them."""
+        """Hold the frames of both directions, or release them if `held` is false."""
         self.calls.hold = self.answers.hold = held
 
     async def _accept(self, reader, writer):
@@ -127,19 +129,19 @@
                     await asyncio.sleep(0.01)
                 if faults.delay_seconds:
                     await asyncio.sleep(faults.delay_seconds)
-                if faults.chance("lose", message, self._random):
+                if faults.should_inject("lose", message, self._random):
                     continue
                 frame = encode_frame(message, body)
-                if kept is None and faults.chance("reorder", message, self._random):
+                if kept is None and faults.should_inject("reorder", message, self._random):
                     kept = frame
                     asyncio.get_running_loop().call_later(REORDER_SECONDS, _write, writer, frame)
                     continue
                 kept = None
                 _write(writer, frame)
-                if faults.chance("duplicate", message, self._random):
+                if faults.should_inject("duplicate", message, self._random):
                     _write(writer, frame)
             await writer.drain()
-        # One side closed: the other learns at once.
+        # One side has closed its connection: raise, so that the task group closes the other.
         raise ConnectionResetError
 
 
--- a/caperstack/bench/routing.py
+++ b/caperstack/bench/routing.py
@@ -1,4 +1,4 @@
-"""make bench-routing: the policies side by side under load and trouble, with an oracle."""
+"""make bench-routing: compare routing policies and an oracle under load and faults."""
 
 import argparse
 import asyncio
@@ -31,10 +31,11 @@
 POLICIES = ("random", "round_robin", "least_reported", "power_of_two", "load_aware", "oracle")
 SCENARIOS = ("calm", "slow", "failing", "cold", "lying")
 
-#: Regression bounds, as ratios within one run.
-OF_ORACLE_MOST = 1.3
-OF_POWER_OF_TWO_MOST = 0.5
-MEASURING_MOST = 1.0
+#: Regression bounds: ratios of p99 latencies within one run, and probes of a server per
+#: second (reads of its health or load).
+MAX_P99_TO_ORACLE = 1.3
+MAX_P99_TO_POWER_OF_TWO = 0.5
+MAX_MEASURING_PER_SECOND = 1.0
 
 SLOW_FACTOR = 10.0
 SLOW_SECONDS = 2.0
@@ -43,7 +44,7 @@
 
 @dataclass
 class Row:
-    """The figures of one policy in one scenario."""
+    """The results of one policy in one scenario."""
 
     load: float
     scenario: str
@@ -59,12 +60,13 @@
     measuring_per_second: float
 
 
-#: A baseline is the policy alone: no moves, no retries, no hedges.
-_ALONE = {"refusals_per_call": 0, "retry_share": 0.0, "hedge_share": 0.0}
+#: Settings of the baseline policies: no other server after a refusal, no retries, no hedges.
+_POLICY_ONLY = {"refusals_per_call": 0, "retry_share": 0.0, "hedge_share": 0.0}
 
 
 def _subtree(policy):
-    extras = {} if policy == "load_aware" else _ALONE
+    """Return the settings that route all calls by `policy`."""
+    extras = {} if policy == "load_aware" else _POLICY_ONLY
     return {
         "services": {"s": {"policy": policy} | extras},
         "routes": [{"path": "/s", "service": "s", "deadline_seconds": CALL_SECONDS}],
@@ -72,11 +74,11 @@
 
 
 class _Oracle:
-    """Calls servers directly, knowing each one's calls in flight and its trouble."""
+    """A client that sends calls to servers directly and knows their load and faults."""
 
-    def __init__(self, fleet, troubles):
+    def __init__(self, fleet, faults):
         self._hosts = sorted(fleet.settings)
-        self._troubles = troubles
+        self._faults = faults
         self._in_flight = dict.fromkeys(self._hosts, 0)
         self._clients = {
             host: BackendClient(
@@ -86,14 +88,18 @@
         }
 
     def _cost(self, host):
-        if host in self._troubles.failing:
+        """Return the expected slowness of a server and, to break ties, its calls in flight.
+
+        The cost of a failing server is infinite.
+        """
+        if host in self._faults.failing:
             return float("inf")
-        crowding = max(1.0, (self._in_flight[host] + 1) / SLOTS)
-        return (crowding * self._troubles.factor.get(host, 1.0), self._in_flight[host])
+        occupancy = max(1.0, (self._in_flight[host] + 1) / SLOTS)
+        return (occupancy * self._faults.slowdown.get(host, 1.0), self._in_flight[host])
 
     async def fetch(self, call):
-        """Return the answer of the best server."""
-        usable = [host for host in self._hosts if host not in self._troubles.failing]
+        """Send a call to the server of the least cost; return its answer."""
+        usable = [host for host in self._hosts if host not in self._faults.failing]
         host = min(usable, key=self._cost)
         self._in_flight[host] += 1
         try:
@@ -102,8 +108,8 @@
             self._in_flight[host] -= 1
 
 
-class _Entries:
-    """Calls nodes at random, as callers do."""
+class _RandomNodeClient:
+    """A client that sends each call to a random node, as callers do."""
 
     def __init__(self, fleet, rng):
         self._rng = rng
@@ -113,43 +119,51 @@
         ]
 
     async def fetch(self, call):
-        """Return the answer of some node."""
+        """Send a call to a random node; return its answer."""
         return await self._rng.choice(self._clients).fetch(call)
 
 
-class _Troubles:
-    """The scenario's trouble of one server, as set and as the oracle knows it."""
+class _ServerFaults:
+    """The faults of a scenario, as set in the servers and as known to the oracle.
+
+    Attributes
+    ----------
+    slowdown : dict of str to float
+        The factor by which calls take longer on a host; 1.0 for hosts not listed.
+    failing : set of str
+        The hosts whose server fails every call.
+    """
 
     def __init__(self, fleet, scenario):
         self._fleet = fleet
         self._scenario = scenario
         self._host = sorted(fleet.settings)[0]
-        self.factor = {}
+        self.slowdown = {}
         self.failing = set()
 
     async def run(self):
-        """Bring the trouble about until cancelled."""
+        """Inject the faults until cancelled."""
         control = self._fleet.control
         if self._scenario == "failing":
             self.failing.add(self._host)
             await control(self._host, fail_status=500)
         elif self._scenario == "cold":
-            self.factor[self._host] = 3.0
+            self.slowdown[self._host] = 3.0
             await control(self._host, cold_seconds=3600.0)
         elif self._scenario == "lying":
             await control(self._host, lie_in_flight=0)
             for host in sorted(self._fleet.settings)[1:]:
                 await control(host, load_lag_seconds=2.0)
         while self._scenario == "slow":
-            self.factor[self._host] = SLOW_FACTOR
+            self.slowdown[self._host] = SLOW_FACTOR
             await control(self._host, slow_factor=SLOW_FACTOR)
             await asyncio.sleep(SLOW_SECONDS)
-            self.factor[self._host] = 1.0
+            self.slowdown[self._host] = 1.0
             await control(self._host, slow_factor=1.0)
             await asyncio.sleep(FAST_SECONDS)
 
     async def end(self):
-        """Take all trouble away."""
+        """Remove all faults."""
         for host in self._fleet.settings:
             await self._fleet.control(
                 host,
@@ -177,6 +191,7 @@
 
 
 async def _one_call(path, due, latencies, failures):
+    """Send a call and add its time since `due`, in seconds, to one of the two lists."""
     try:
         answer = await path.fetch(_call())
     except BackendError:
@@ -185,8 +200,14 @@
     (latencies if answer.status == 200 else failures).append(now() - due)
 
 
-async def _drive(path, rate, seconds, rng):
-    """Return times of answered, of failed and of warm-up calls, three lists."""
+async def _send_calls(path, rate, seconds, rng):
+    """Send calls with Poisson arrivals for a warm-up and then for `seconds`.
+
+    Returns
+    -------
+    latencies, failures, warm : list of float
+        Times in seconds of the answered, the failed and the warm-up calls.
+    """
     latencies, failures, warm, tasks = [], [], [], set()
     start = due = now()
     while due < start + WARM_SECONDS + seconds:
@@ -203,6 +224,7 @@
 
 
 async def _set_policy(fleet, policy):
+    """Set the policy of the service and wait until every node has it in force."""
     document = await fleet.platform_request(
         "configuration", "PUT", "/v1/subtrees/", _subtree(policy)
     )
@@ -218,34 +240,36 @@
 
 
 async def _measure(fleet, policy, scenario, load, seconds, seed):
+    """Run one policy in one scenario at one load; return its `Row`."""
     rng = random.Random(seed)
-    troubles = _Troubles(fleet, scenario)
+    faults = _ServerFaults(fleet, scenario)
     if policy != "oracle":
         await _set_policy(fleet, policy)
-    path = _Oracle(fleet, troubles) if policy == "oracle" else _Entries(fleet, rng)
+    path = _Oracle(fleet, faults) if policy == "oracle" else _RandomNodeClient(fleet, rng)
     before, ledgers = await fleet_counters(fleet), await fleet.ledgers()
-    begun = now()
-    trouble = asyncio.create_task(troubles.run())
+    started = now()
+    fault_task = asyncio.create_task(faults.run())
     await asyncio.sleep(0.1)
     rate = load * SERVERS * SLOTS / MEAN_SECONDS
     try:
-        times = await _drive(path, rate, seconds, rng)
+        times = await _send_calls(path, rate, seconds, rng)
     finally:
-        trouble.cancel()
-        await troubles.end()
+        fault_task.cancel()
+        await faults.end()
     counters = (before, await fleet_counters(fleet))
-    took = now() - begun
-    return _row(load, scenario, policy, times, counters, (ledgers, await fleet.ledgers()), took)
+    elapsed = now() - started
+    return _row(load, scenario, policy, times, counters, (ledgers, await fleet.ledgers()), elapsed)
 
 
-def _row(load, scenario, policy, times, counters, ledgers, took):
+def _row(load, scenario, policy, times, counters, ledgers, elapsed):
+    """Compute the `Row` from the times of the calls and readings before and after them."""
     latencies, failures, warm = times
     histogram = latency_histogram(latencies)
     calls = len(latencies) + len(failures)
     first, last = ledgers
     runs = sum(last[h]["runs"] - first[h]["runs"] for h in last)
-    # A window of some seconds may hold one reading more than its rate.
-    measuring = [(last[h]["measured"] - first[h]["measured"] - 1) / took for h in last]
+    # An interval of a few seconds may contain one probe more than the rate allows.
+    measuring = [(last[h]["measured"] - first[h]["measured"] - 1) / elapsed for h in last]
     late = sum(latency > LATE_SECONDS for latency in latencies) + len(failures)
     refusals = counter_sum(*counters, "refusals") if policy != "oracle" else 0
     return Row(
@@ -273,15 +297,15 @@
     )
 
 
-def _check(rows):
-    """Print what misses its bound; return whether nothing does."""
+def _check_bounds(rows):
+    """Print each comparison with its bound; return whether all are met."""
     found = {(row.load, row.scenario, row.policy): row for row in rows}
     good = True
     for (load, scenario, policy), row in found.items():
         if policy != "load_aware":
             continue
-        bounds = [("oracle", OF_ORACLE_MOST, ("calm", "slow", "failing", "cold", "lying"))]
-        bounds.append(("power_of_two", OF_POWER_OF_TWO_MOST, ("slow",)))
+        bounds = [("oracle", MAX_P99_TO_ORACLE, ("calm", "slow", "failing", "cold", "lying"))]
+        bounds.append(("power_of_two", MAX_P99_TO_POWER_OF_TWO, ("slow",)))
         for other, most, scenarios in bounds:
             against = found.get((load, scenario, other))
             if against is None or scenario not in scenarios:
@@ -290,7 +314,7 @@
             verdict = "ok" if ratio <= most else "MISSED"
             good &= ratio <= most
             print(f"{load:4.0%} {scenario:8} p99 {ratio:.2f} x {other} (bound {most}): {verdict}")
-        if row.measuring_per_second > MEASURING_MOST:
+        if row.measuring_per_second > MAX_MEASURING_PER_SECOND:
             print(f"{load:4.0%} {scenario:8} measuring {row.measuring_per_second}/s: MISSED")
             good = False
     return good
@@ -313,7 +337,9 @@
 def main(arguments=None):
     """Run the command line; return the exit status."""
     parser = argparse.ArgumentParser(prog="bench-routing", description=__doc__)
-    parser.add_argument("--seconds", type=float, default=8.0, help="of each policy and scenario")
+    parser.add_argument(
+        "--seconds", type=float, default=8.0, help="seconds of load for each policy and scenario"
+    )
     parser.add_argument("--loads", type=float, nargs="+", default=[0.7, 0.9])
     parser.add_argument("--scenarios", nargs="+", choices=SCENARIOS, default=SCENARIOS)
     parser.add_argument("--policies", nargs="+", choices=POLICIES, default=POLICIES)
@@ -324,7 +350,7 @@
     if options.json:
         with open(options.json, "w", encoding="utf-8") as file:
             json.dump([asdict(row) for row in rows], file, indent=2)
-    return 0 if _check(rows) else 1
+    return 0 if _check_bounds(rows) else 1
 
 
 if __name__ == "__main__":
