--- a/caperstack/settings/comparison.py
+++ b/caperstack/settings/comparison.py
@@ -66,7 +66,7 @@
         }
         if not self._different:
             return None
-        # The peer that differed last most likely holds the newest revisions.
+        # The peer that began to differ last most likely holds the newest revisions.
         self._host, _ = self._different.popitem()
         self._deadline = deadline_after(COMPARISON_TIMEOUT_SECONDS)
         return self._host
--- a/caperstack/settings/compile.py
+++ b/caperstack/settings/compile.py
@@ -28,7 +28,7 @@
         return True
 
     def dates_routes(self, path):
-        """Return whether the revision of subtree `path` dates the table: always true here."""
+        """Return whether `SettingsStore.routes_revision` covers `path`: always true here."""
         return True
 
     def complete(self, subtrees):
--- a/caperstack/settings/main.py
+++ b/caperstack/settings/main.py
@@ -16,6 +16,7 @@
 
 __all__ = ["main"]
 
+#: A tree has problems, or `status --until` ran into its deadline.
 EXIT_REFUSED = 1
 EXIT_BAD_ARGUMENTS = 2
 NODE_TIMEOUT_SECONDS = 3.0
--- a/caperstack/settings/neighbours.py
+++ b/caperstack/settings/neighbours.py
@@ -46,8 +46,9 @@
     Returns
     -------
     list of str
-        For a reader, the other readers.  For any other node, its tree parent, then
-        other nodes of lower rank.
+        For a reader, the other readers of its zone, then `first_hosts`.  For any other
+        node, its tree parent, then one pseudo-randomly chosen node before it in the
+        order of the zone, then the rest of those before it.
 
     Notes
     -----
@@ -123,8 +124,8 @@
 
         Notes
         -----
-        The first ranks are in different zones, so when a zone is partitioned with all
-        readers in it, the reader next in rank is not cut off with the first.
+        The first ranks are in different zones, so a network partition that cuts off a
+        zone with all its readers leaves the host of the next rank connected.
         """
         own = self._own_zone.index(self._here.host)
         others = [(z, len(order)) for z, order in self._zones.items() if z != self._here.zone]
--- a/caperstack/settings/reader.py
+++ b/caperstack/settings/reader.py
@@ -1,4 +1,4 @@
-"""Read the platform's configuration service: readers watch it, other nodes as a fallback."""
+"""Read the platform's configuration service: readers watch it, others read it as a fallback."""
 
 import asyncio
 import json
@@ -16,6 +16,8 @@
 #: Timeout of a watch request.  The platform ends a watch after 30 s, so a longer one
 #: means that the connection is dead.
 WATCH_SECONDS = 40.0
+
+#: Timeout of any other request.
 READ_SECONDS = 5.0
 
 RETRY_SECONDS = 0.5
@@ -24,11 +26,12 @@
 #: Requests per second that all nodes together may make when they read without their
 #: peers: a quarter of the platform's limit for all clients.
 FLEET_REQUESTS_PER_SECOND = 500
-#: Requests that one such read of a node is assumed to take.
+#: Assumed number of requests that one such read by one node takes.
 REQUESTS_PER_DIRECT_READ = 3
 MIN_DIRECT_READ_INTERVAL_SECONDS = 5.0
 
-#: Mean interval at which a node that is not a reader checks whether it must read.
+#: Mean interval at which a node that is not a reader checks whether it has become one or
+#: its peers are silent.
 ROLE_CHECK_SECONDS = 0.5
 
 MAX_VALUE_BYTES = 2 * 1024 * 1024
--- a/caperstack/settings/restores.py
+++ b/caperstack/settings/restores.py
@@ -1,4 +1,4 @@
-"""Track restores of the platform's store and how long its entries may be outdated."""
+"""Detect restores of the platform's store, after which its entries may be outdated for a while."""
 
 from caperstack.clock import now
 from caperstack.settings.revisions import era_of
@@ -18,24 +18,24 @@
 
 
 class Restores:
-    """Detect that the store was restored from a copy and tell how far to trust its entries.
-
-    Notes
-    -----
-    The copy contains entries of backend servers that have since left or begun to
-    leave, and lacks those of servers that have since started.  Taken literally, calls
-    would go to the former and not to the latter until all servers have written their
-    lost entries again.
-
-    All nodes count from the same moment, the first read by any node.  Otherwise a
-    node that becomes the reader long after the restore would keep missing entries as
-    if the store had just been restored, and calls would still go to a server that
-    left.
+    """Detect that the store was restored from an older copy, whose entries may be outdated.
 
     Parameters
     ----------
     heartbeat_seconds : float
         Interval at which a backend server writes its entry.
+
+    Notes
+    -----
+    The copy contains entries of backend servers that have since left or begun to
+    drain, and lacks those of servers that have since started.  If nodes applied it as
+    it is, calls would go to the former and not to the latter until all servers have
+    written their lost entries again.
+
+    All nodes measure the time since the restore from the first read of the new era by
+    any node.  Otherwise a node that becomes the reader long after the restore would
+    keep missing entries as if the store had just been restored, and calls would still
+    go to a server that left.
     """
 
     def __init__(self, heartbeat_seconds=HEARTBEAT_SECONDS):
@@ -60,7 +60,7 @@
 
     @property
     def may_be_overtaken(self):
-        """Whether entries may belong to backend servers that have left since the copy was made."""
+        """Whether entries may be older than the departure or draining of their servers."""
         return self._younger_than(RETURN_SECONDS + self._lapse_seconds)
 
     def _younger_than(self, seconds):
@@ -71,7 +71,7 @@
         self.note_era(era_of(revision), now())
 
     def note_era(self, era, began_at):
-        """Record an era that any node first saw at `began_at`."""
+        """Record an era and when any node first saw it, in seconds on the local monotonic clock."""
         if era > self._era:
             self._era = era
             self._began_at = began_at
--- a/caperstack/settings/seen_reads.py
+++ b/caperstack/settings/seen_reads.py
@@ -20,17 +20,17 @@
 class SeenReads:
     """Number the platform reads of this node and recognise announced reads already seen.
 
-    Notes
-    -----
-    The announcement of a read circulates in the fleet once.  When the read began is
-    only estimated, too late by all delays on the way.  Judged by its time alone, an
-    announcement that comes back could look newer than before and would circulate for
-    ever.
-
     Parameters
     ----------
     host : str
         The name of this node's host.
+
+    Notes
+    -----
+    Each node forwards the announcement of a read at most once.  The time at which the
+    read began is only estimated, and each hop makes the estimate later by its delay.
+    If nodes compared these times alone, an announcement that comes back could look
+    newer than before and would circulate for ever.
     """
 
     def __init__(self, host):
@@ -39,7 +39,7 @@
         self._forwarded_at = 0.0
 
     def begin(self, read_at):
-        """Return a new number for a read by this node, which counts as forwarded."""
+        """Return a new number for a read by this node at `read_at`, which counts as forwarded."""
         number = hash_number(f"{self._host} {wall_microseconds()}")
         self.add(number)
         self._forwarded_at = read_at
--- a/caperstack/settings/store.py
+++ b/caperstack/settings/store.py
@@ -59,12 +59,6 @@
 class SettingsStore:
     """Hold all subtrees known to this node and the routing table compiled from them.
 
-    Notes
-    -----
-    The revision of a subtree never decreases, deletions included: a lower revision
-    is ignored whoever sends it.  A subtree is accepted or refused as a whole; after a
-    refusal its last valid revision stays in force and other subtrees are not affected.
-
     Parameters
     ----------
     codec : object
@@ -73,6 +67,12 @@
         ``complete(parsed by path)``; see `caperstack.settings.compile.TreeCodec`.
     initial : dict, optional
         Documents by path from the start settings.
+
+    Notes
+    -----
+    The revision of a subtree never decreases, deletions included: a lower revision
+    is ignored whoever sends it.  A subtree is accepted or refused as a whole; after a
+    refusal its last valid revision stays in force and other subtrees are not affected.
     """
 
     def __init__(self, codec, initial=None):
@@ -101,12 +101,15 @@
 
     @property
     def known(self):
-        """Whether the settings held are complete, so that a missing route does not exist."""
+        """Whether all routes are held, so that a route not found here does not exist."""
         return self._codec.complete(self._parsed())
 
     @property
     def routes_revision(self):
-        """The highest revision among the settings that date the routes, for the log."""
+        """The highest revision in force of the subtrees that define routes, for the log.
+
+        The codec's ``dates_routes`` tells which subtrees these are; -1 before the first.
+        """
         return self._routes_revision
 
     @property
--- a/caperstack/settings/sync.py
+++ b/caperstack/settings/sync.py
@@ -49,8 +49,8 @@
 NOTIFIED_OTHER_ZONES = 1
 
 #: If more subtrees than this change in one iteration of the event loop, only the digest
-#: is sent.  A starting node receives the whole fleet at once; its peers hold most of
-#: it, and a comparison finds what they lack.
+#: is sent.  A starting node receives the entries of the whole fleet at once; its peers
+#: hold most of them, and a comparison finds those that they lack.
 MAX_REVISIONS_PER_NOTICE = 16
 
 #: Maximum time that a starting node waits to agree with a peer, in seconds.
@@ -68,16 +68,6 @@
 class SettingsSync:
     """Replicate settings between this node and its connected peers.
 
-    Notes
-    -----
-    A restarted node holds no settings.  If the platform serves an old revision at
-    that time, the node would adopt it and revert a change for its callers.  So a node
-    begins to serve when it agrees with a peer, or when none can be reached within a
-    second or two.
-
-    Changes are sent in both directions on every settings connection, whichever side
-    dialled it, so a change that only one node has seen reaches all connected nodes.
-
     Parameters
     ----------
     here : caperstack.config.node.NodeSettings
@@ -85,6 +75,16 @@
     restores : caperstack.settings.restores.Restores, optional
         Tracks the era of the platform's revisions, which is sent with each announced
         read of the platform.
+
+    Notes
+    -----
+    A restarted node holds no settings.  If the platform serves an old revision at
+    that time, the node would adopt it and revert a change for its callers.  So a node
+    begins to serve when it agrees with a peer, or when none can be reached within a
+    second or two.
+
+    Changes are sent over a connection in both directions, whichever side dialled it, so
+    a change that only one node has seen reaches all connected nodes.
     """
 
     def __init__(self, here, restores=None):
@@ -160,7 +160,8 @@
     def _keep_connections(self):
         for host in self._topology.successors(SUCCESSORS):
             self._members.find(host).owner.touch()
-        # Readers connect the zones, so each keeps all its parents connected.
+        # Settings cross from zone to zone between readers, so a reader keeps all its
+        # parents connected, in its own zone and in the others.
         missing = None if self._topology.reads else CONNECTED_PARENTS
         for host in self._topology.parents():
             member = self._members.find(host)
@@ -280,7 +281,8 @@
         if not self._seen_reads.should_forward(read_at):
             return
         message = self._read_message(message.reading, read_at)
-        # A host that is not a member is no node's successor.
+        # Connected hosts that are not members are no node's successors, so each node that
+        # is connected to them notifies them.
         unlisted = [h for h in self._connections.hosts if self._members.find(h) is None]
         for host in (*self._topology.successors(SUCCESSORS), *unlisted):
             self._connections.send(host, message)
