--- a/caperstack/peers/interest.py
+++ b/caperstack/peers/interest.py
@@ -7,9 +7,10 @@
 
 #: An entry that has not called for this many seconds gets no load updates; it
 #: reads the load from the answer to its next call.  A slow phase caused by another
-#: tenant of the host lasts about 0.3 s, and an update costs 60 bytes.  Without it, a
-#: call sent there is refused and sent elsewhere, which costs 350 bytes and 1 to 2 ms.
-#: An update therefore pays off if the next call comes within 1.7 s.
+#: tenant of the host lasts about 0.3 s, and an update costs 60 bytes.  Without the
+#: update, a call that the entry sends in that phase is refused and sent elsewhere, which
+#: costs 350 bytes and 1 to 2 ms.  An update therefore pays off if the next call comes
+#: within 1.7 s.
 CALLS_SECONDS = 1.7
 
 
@@ -22,8 +23,8 @@
     rarely calls any one of them.  When updates went to every entry that had called in
     the last 5 s, a node among 81 sent 1,219 updates and 208 calls in a minute.  In a
     simulation of 60 hosts (three seeds), 1.7 s instead of 5 s reduces the updates from
-    364,000 to 171,000; the share of the callers' worth that is earned falls from 0.986 to
-    0.984 (four seeds, which differ by 0.033 among themselves).
+    364,000 to 171,000; the worth earned, as a share of the worth of all requests, falls
+    from 0.986 to 0.984 (four seeds, which differ by 0.033 among themselves).
     """
 
     def __init__(self):
--- a/caperstack/peers/link.py
+++ b/caperstack/peers/link.py
@@ -32,10 +32,11 @@
 MAX_REDIAL_SECONDS = 2.0
 
 #: Any received message counts as a heartbeat.  If none arrives, a ping is sent after
-#: 0.4 s while calls are pending and after 2 s on an idle link.  After 1.2 s of silence
-#: the connection counts as lost, so that a read call whose owner is unreachable or
-#: paused can still be answered by another owner within its 2 s deadline.  TCP
-#: retransmits a lost packet after 0.2 to 0.6 s, so two losses in a row are tolerated.
+#: 0.4 s while calls are pending and after 2 s on an idle link.  A connection that has
+#: been silent for 1.2 s, with a ping unanswered, counts as lost, so that an idempotent
+#: call whose owner is unreachable or paused can still be answered by another owner
+#: within a deadline of 2 s.  TCP retransmits a lost packet after 0.2 to 0.6 s, so two
+#: losses in a row are tolerated.
 PING_SECONDS = 0.4
 IDLE_PING_SECONDS = 2.0
 SILENCE_TIMEOUT_SECONDS = 1.2
@@ -101,7 +102,7 @@
             self._task = asyncio.create_task(self._maintain_connection())
 
     def freshen(self, estimate):
-        """Do nothing: the owner pushes load updates, they are not polled."""
+        """Do nothing: the owner pushes load updates, so the link does not poll them."""
 
     def redial_now(self):
         """Dial now instead of after the current redial delay."""
@@ -165,9 +166,11 @@
         Returns
         -------
         Outcome
-            `NotRun` if the owner revoked the call or never received it; the owner then
-            also refuses a copy that arrives later.  `Unknown` if the owner cannot be
-            reached by the call's deadline.
+            `NotRun` if the owner revoked the call or certainly never received it; the
+            owner then also refuses a copy that arrives later.  The actual outcome if the
+            call was dispatched.  `Unknown` if the owner's records do not reach back to when
+            the call was sent, as after a restart, or if it cannot be reached or does not
+            reply by the call's deadline.
         """
         try:
             connection = await self._open(call.deadline)
@@ -191,6 +194,7 @@
             If no reply arrives by `deadline`.
         """
         connection = await self._open(deadline)
+        # Negative, so that it differs from the ids of all calls.
         message.id = -next(self._numbers)
         future = self._expect(message.id)
         try:
@@ -322,6 +326,7 @@
         for future in self._pending.values():
             if not future.done():
                 future.set_exception(error)
+                # Marks the exception as retrieved; asyncio logs those that never are.
                 future.exception()
         if was_up:
             self._failures += 1
--- a/caperstack/peers/links.py
+++ b/caperstack/peers/links.py
@@ -19,6 +19,11 @@
         This node's identity and addresses.
     security : PeerSecurity or PlaintextSecurity
         Supplies the TLS context for dialling.
+
+    Attributes
+    ----------
+    incarnation : int
+        Wall clock time at which this node started, in microseconds.
     """
 
     def __init__(self, here, security):
@@ -45,7 +50,8 @@
             link.close()
 
     async def _check_liveness_loop(self):
-        # One task serves all links: a timer per link was most of the cost of a link.
+        # One task checks all links: with a timer for each link, the timers caused most of
+        # the cost of the links.
         while True:
             await asyncio.sleep(PING_SECONDS)
             for link in (*self._links.values(), *self._retiring):
@@ -82,7 +88,7 @@
             hook.closed(member.host)
 
     def take(self, member, message, body):
-        """Pass a message that is not a reply to the hooks."""
+        """Pass a message that the link does not handle itself to the hooks."""
         link = self._links.get(member.host)
         if link is None:
             return
--- a/caperstack/peers/messages.py
+++ b/caperstack/peers/messages.py
@@ -1,6 +1,8 @@
 """Typed messages between nodes.
 
-Fields that end in ``_us`` are in microseconds, in ``_ms`` in milliseconds.
+Fields that end in ``_us`` are in microseconds, in ``_ms`` in milliseconds.  ``clock`` is
+the sender's event clock, see `caperstack.events.ring.HybridClock`.  ``size`` is the length
+of the body in bytes; the body starts in the same frame and continues in `Chunk` messages.
 """
 
 from typing import Annotated
@@ -38,7 +40,6 @@
 #: Version of the message format; a peer that uses another is rejected in the handshake.
 VERSION = 6
 
-
 #: Limit on the crashes in one `SuspicionReport`; more than a node keeps per request.
 MAX_SUSPECTED_ENDS = 32
 
@@ -65,7 +66,8 @@
 class Hello(_MessageStruct, tag=1):
     """The first message of each side.
 
-    ``sent_us`` is the sender's monotonic clock.
+    ``sent_us`` is the sender's monotonic clock, ``incarnation`` the wall clock time at
+    which its node started, in microseconds.
     """
 
     version: int
@@ -81,8 +83,9 @@
     """A call for the owner's backend server.
 
     ``left_us``, ``queue_us`` and ``objective_us`` are the times left until the call's
-    deadline, the end of its wait in the queue and its latency objective.  If
-    ``withheld`` is set, the body is sent only when the owner requests it.
+    deadline, the end of its wait in the queue and its latency objective.  ``depth`` is the
+    depth in the call tree, 0 for the root, and ``last`` tells that no other backend server
+    is left to try.  If ``withheld`` is set, the body is sent only when the owner requests it.
     """
 
     id: int
@@ -133,7 +136,10 @@
 
 
 class Refused(_MessageStruct, tag=4):
-    """The owner guarantees that the call did not run and will not run."""
+    """The owner guarantees that the call did not run and will not run.
+
+    ``offered`` tells whether the backend server received the call and refused it.
+    """
 
     id: int
     reason: str
@@ -202,8 +208,10 @@
 class Claim(_MessageStruct, tag=11):
     """A request to a keeper to record an idempotency key.
 
-    ``born_us`` is when the key was created, or 0 if the key doesn't tell; ``keepers``
-    are all keepers that the sender asks.
+    ``holder`` is a random number that identifies the claim, ``fingerprint`` a hash of the
+    request by which another request with the same key is detected.  ``born_us`` is the
+    creation time contained in the key, or 0 if there is none; ``keepers`` are all keepers
+    that the sender asks, and ``window_us`` is how long the key is remembered after the call ran.
     """
 
     id: int
@@ -219,7 +227,8 @@
 class Claimed(_MessageStruct, tag=12):
     """The reply to a `Claim`.
 
-    ``verdict`` is a `caperstack.idempotency.keeper.Verdict`.
+    ``verdict`` is a `caperstack.idempotency.keeper.Verdict`; ``vouches`` tells that no record
+    of the key can be missing at the keeper.
     """
 
     id: int
@@ -256,7 +265,8 @@
 
     A nonzero ``reading`` is the number of a platform read that began
     ``read_age_us`` before ``sent_us``, a time on the sender's monotonic clock.
-    ``era`` is the era of the platform's revisions, first seen ``era_age_us`` before it.
+    ``era`` is the era of the platform's revisions, which any node first saw ``era_age_us``
+    before ``sent_us``.
     """
 
     value: int
--- a/caperstack/peers/port.py
+++ b/caperstack/peers/port.py
@@ -289,8 +289,8 @@
             self._metrics.count("replies_without_connection")
 
     def _send_load(self, connection):
-        # Sent, among others, when a call is queued: its answer, which also carries the
-        # load, comes late, and meanwhile the entry would keep sending calls.
+        # Also called when a call is queued: its answer, which carries the load too, comes
+        # late, and without this update the entry would keep sending calls meanwhile.
         self._send(connection, State(self._record_and_report_load(connection)))
 
     def _record_and_report_load(self, connection):
@@ -342,7 +342,7 @@
         Notes
         -----
         A backend server may be listed again, or restart, seconds after it was removed
-        from the host list.  Entries that believe it is leaving send no calls, so they
+        from the host list.  Entries that take it for draining send no calls, so they
         don't count as interested in its load.  If they weren't told of the new state,
         they would avoid the server until their next heartbeat, 2 s later, and refuse
         a call for which no other server is left.
--- a/caperstack/peers/tests/test_port.py
+++ b/caperstack/peers/tests/test_port.py
@@ -39,7 +39,7 @@
 
     def test_changed_state_is_sent_to_entries_that_do_not_call(self):
         # A server was removed from the host list and is listed again.  An entry that
-        # took it for leaving has not called it for seconds and would keep avoiding it.
+        # took it for draining has not called it for seconds and would keep avoiding it.
         self.push(state=ServerState.WARM)
         self.assertEqual(self.other.sent, [ServerState.DRAINING, ServerState.WARM])
 
--- a/caperstack/peers/translate.py
+++ b/caperstack/peers/translate.py
@@ -105,7 +105,8 @@
     arrival : float
         When it was read, in seconds on the local monotonic clock.
     lateness : float
-        How long it was delayed in transit beyond the usual, in seconds.
+        How much longer than an undelayed message it took to arrive, in seconds; see
+        `caperstack.clock.TransitClock`.
     """
     sent = arrival - lateness
     return Call(
