--- a/caperstack/settings/comparison.py
+++ b/caperstack/settings/comparison.py
@@ -30,7 +30,7 @@
         """Record that the digest of `host`, `value`, differs from this node's."""
         self._different[host] = value
 
-    def agrees(self, host):
+    def remove(self, host):
         """Record that `host` holds the same revisions or is no longer connected."""
         self._different.pop(host, None)
         self.done(host)
--- a/caperstack/settings/sync.py
+++ b/caperstack/settings/sync.py
@@ -189,7 +189,7 @@
         if not self._connections.drop_closed(host):
             self._fetches.forget_host(host)
             self._send_due_fetches()
-            self._comparisons.agrees(host)
+            self._comparisons.remove(host)
             self._compare_next()
 
     # -- messages ---------------------------------------------------------
@@ -233,7 +233,7 @@
             self._handle_read_notice(message, connection)
         if message.value == self._store.digest.value:
             self._agrees.set()
-            self._comparisons.agrees(host)
+            self._comparisons.remove(host)
         else:
             self._metrics.count("settings_differences")
             self._comparisons.differs(host, message.value)
--- a/caperstack/settings/tests/test_comparison.py
+++ b/caperstack/settings/tests/test_comparison.py
@@ -41,7 +41,7 @@
     def test_disconnected_peer_is_not_compared(self):
         comparisons = Comparisons()
         comparisons.differs("gone", 7)
-        comparisons.agrees("gone")
+        comparisons.remove("gone")
         self.assertIsNone(comparisons.begin(own_digest=1))
 
 
