--- a/caperstack/settings/comparison.py
+++ b/caperstack/settings/comparison.py
@@ -31,7 +31,7 @@
         self._different[host] = value
 
     def remove(self, host):
-        """Record that `host` holds the same revisions or is no longer connected."""
+        """Remove `host`, which agrees or has disconnected, and end its comparison if it runs."""
         self._different.pop(host, None)
         self.done(host)
 
