--- a/caperstack/settings/comparison.py
+++ b/caperstack/settings/comparison.py
@@ -30,8 +30,8 @@
         """Record that the digest of `host`, `value`, differs from this node's."""
         self._different[host] = value
 
-    def agrees(self, host):
-        """Record that `host` holds the same revisions or is no longer connected."""
+    def remove(self, host):
+        """Remove `host`, which agrees or has disconnected, and end its comparison if it runs."""
         self._different.pop(host, None)
         self.done(host)
 
@@ -66,7 +66,7 @@
         }
         if not self._different:
             return None
-        # The peer that differed last most likely holds the newest revisions.
+        # The peer that began to differ last most likely holds the newest revisions.
         self._host, _ = self._different.popitem()
         self._deadline = deadline_after(COMPARISON_TIMEOUT_SECONDS)
         return self._host
