--- a/caperstack/quarantine/crash.py
+++ b/caperstack/quarantine/crash.py
@@ -82,7 +82,7 @@
     client : object
         With ``async listens(deadline)``, as
         `caperstack.backend.client.BackendClient`.
-    standing : caperstack.admission.status.ServerStatus
+    status : caperstack.admission.status.ServerStatus
         The instance of the server and its state.
 
     Notes
@@ -94,9 +94,9 @@
     stopping is not a crash.
     """
 
-    def __init__(self, client, standing):
+    def __init__(self, client, status):
         self._client = client
-        self._standing = standing
+        self._status = status
         self._running = {}
         self._unanswered = deque()
         self._last_response_at = now()
@@ -149,13 +149,13 @@
 
     async def lost(self, call):
         """Return the `ServerCrash` in which `call` was lost, or ``None`` if the server is alive."""
-        if not self._includes(call):
+        if not self._in_last_crash(call):
             if self._probe_task is None:
                 self._probe_task = asyncio.create_task(self._probe())
             await asyncio.shield(self._probe_task)
-        return self._last_crash if self._includes(call) else None
+        return self._last_crash if self._in_last_crash(call) else None
 
-    def _includes(self, call):
+    def _in_last_crash(self, call):
         return (
             self._last_crash is not None
             and (call.origin, call.id) in self._last_crash.pending_calls
@@ -171,7 +171,7 @@
 
     @property
     def _is_leaving(self):
-        return self._standing.state in (ServerState.DRAINING, ServerState.STOPPING)
+        return self._status.state in (ServerState.DRAINING, ServerState.STOPPING)
 
     def on_server_restart(self):
         """Handle a listed restart of the server: calls of the previous run ended with it."""
@@ -181,9 +181,7 @@
         self._crash_recorded = False
 
     def _crash_number(self, pending):
-        name = (
-            f"{self._standing.instance}@{self._standing.born_ms} {pending.origin} {pending.number}"
-        )
+        name = f"{self._status.instance}@{self._status.born_ms} {pending.origin} {pending.number}"
         return wall_microseconds() << HASH_BITS | hash_number(name) >> (64 - HASH_BITS)
 
     def _record_crash(self):
@@ -204,7 +202,7 @@
         self._crash_recorded = True
         by_number = {(pending.origin, pending.number): pending for pending in pending_calls}
         self._last_crash = ServerCrash(
-            self._crash_number(pending_calls[0]), self._standing.instance, by_number
+            self._crash_number(pending_calls[0]), self._status.instance, by_number
         )
         for listener in self._listeners:
             listener(self._last_crash)
--- a/caperstack/quarantine/tests/test_crash.py
+++ b/caperstack/quarantine/tests/test_crash.py
@@ -20,8 +20,8 @@
     def setUp(self):
         self.listening = False
         self.asked = 0
-        self.standing = SimpleNamespace(state=ServerState.WARM, instance="i-1", born_ms=0)
-        self.detector = CrashDetector(self, self.standing)
+        self.status = SimpleNamespace(state=ServerState.WARM, instance="i-1", born_ms=0)
+        self.detector = CrashDetector(self, self.status)
         self.crashes = []
         self.detector.listen(self.crashes.append)
 
@@ -71,7 +71,7 @@
         self.assertEqual(self.crashed_calls(), [[1, 3]])
 
     async def test_exit_of_a_leaving_server_is_no_crash(self):
-        self.standing.state = ServerState.DRAINING
+        self.status.state = ServerState.DRAINING
         lost = call(1)
         self.detector.begin(lost)
         self.assertIsNone(await self.detector.lost(lost))
--- a/caperstack/routing/budgets.py
+++ b/caperstack/routing/budgets.py
@@ -35,7 +35,7 @@
 
     Parameters
     ----------
-    reserve : float
+    capacity : float
         The capacity in tokens.
     start : float
         The initial number of tokens.
@@ -53,21 +53,21 @@
     True
     """
 
-    def __init__(self, reserve=MAX_TOKENS, start=INITIAL_TOKENS, per_second=0.0):
-        self._reserve = reserve
+    def __init__(self, capacity=MAX_TOKENS, start=INITIAL_TOKENS, per_second=0.0):
+        self._capacity = capacity
         self._per_second = per_second
         self._tokens = start
         self._filled_at = now()
 
-    def set_limits(self, reserve, per_second):
+    def set_limits(self, capacity, per_second):
         """Set the capacity in tokens and the tokens added per second."""
-        self._reserve = reserve
+        self._capacity = capacity
         self._per_second = per_second
-        self._tokens = min(self._tokens, reserve)
+        self._tokens = min(self._tokens, capacity)
 
     def deposit(self, share):
         """Add the `share` of a token that one first attempt earns."""
-        self._tokens = min(self._reserve, self._tokens + share)
+        self._tokens = min(self._capacity, self._tokens + share)
 
     def withdraw(self):
         """Take one token for an extra attempt; return whether one was left."""
--- a/caperstack/routing/candidates.py
+++ b/caperstack/routing/candidates.py
@@ -54,7 +54,7 @@
         -----
         Rendezvous hashing of the request's fingerprint and the host names.
         """
-        members = self._fit(self._members.usable(self._members.of_service(call.service)))
+        members = self._healthy(self._members.usable(self._members.of_service(call.service)))
         name = call.fingerprint.text
         return max(members, key=lambda m: hash_number(f"{name} {m.host}"), default=None)
 
@@ -110,9 +110,9 @@
             return None
         baseline = baseline_seconds(members, state)
         context = Context(self._here.zone, self._here.region, baseline, self._rng)
-        return choose(state.policy, self._fit(members), context)
+        return choose(state.policy, self._healthy(members), context)
 
-    def _fit(self, members):
+    def _healthy(self, members):
         """Return the healthy members, or all if too many seem unhealthy.
 
         Notes
--- a/caperstack/routing/estimates.py
+++ b/caperstack/routing/estimates.py
@@ -12,7 +12,7 @@
 
 #: Seconds for which a reported slowdown of a host is used; longer than the silence
 #: after which a link counts as dead.
-PACE_SECONDS = 2.0
+MAX_SLOWDOWN_AGE_SECONDS = 2.0
 
 #: Penalty of a full server without a queue against an empty one, in service times.
 OCCUPANCY_PENALTY = 0.2
@@ -105,7 +105,7 @@
     @property
     def slowed(self):
         """Whether the host is so slow at the moment that the owner would refuse calls."""
-        return self._pace() >= SLOWED_PACE
+        return self._slowdown() >= SLOWED_PACE
 
     @property
     def reported_service_seconds(self):
@@ -171,10 +171,10 @@
         weight = self._report_weight(SERVICE_SECONDS)
         return weight * reported + (1 - weight) * baseline
 
-    def _pace(self):
+    def _slowdown(self):
         # The owner reports each change of its host's slowdown at once, so the last
         # value holds for as long as reports arrive at all.
-        if now() - self._reported_at > PACE_SECONDS:
+        if now() - self._reported_at > MAX_SLOWDOWN_AGE_SECONDS:
             return 1.0
         return self._load.pace / 100
 
--- a/caperstack/routing/table.py
+++ b/caperstack/routing/table.py
@@ -8,7 +8,7 @@
 ANY_HOST = ""
 
 #: Default number of backend servers that one call may be sent to.
-ATTEMPTS = 3
+DEFAULT_ATTEMPTS = 3
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
     criticality: int = 1
     deadline_seconds: float = 5.0
     objective_seconds: float = 5.0
-    attempts: int = ATTEMPTS
+    attempts: int = DEFAULT_ATTEMPTS
 
     @property
     def service(self):
@@ -97,7 +97,7 @@
 
     def add(self, route):
         """Add a `Route`; for equal prefixes, routes restricted to methods take precedence."""
-        key = (route.host.lower(), _key(route.path))
+        key = (route.host.lower(), _path_key(route.path))
         found = self.routes.setdefault(key, [])
         found.append(route)
         found.sort(key=lambda r: not r.methods)
@@ -125,7 +125,7 @@
         return None
 
 
-def _key(path):
+def _path_key(path):
     return path.rstrip("/") or "/"
 
 
--- a/caperstack/routing/tests/test_service.py
+++ b/caperstack/routing/tests/test_service.py
@@ -59,7 +59,7 @@
     def test_tokens_added_over_time_stop_at_the_capacity(self):
         clock = 0.0
         with mock.patch("caperstack.routing.budgets.now", lambda: clock):
-            budget = CallBudget(reserve=2.0, start=0.0, per_second=0.5)
+            budget = CallBudget(capacity=2.0, start=0.0, per_second=0.5)
             self.assertFalse(budget.withdraw())
             clock = 100.0
             self.assertEqual([budget.withdraw() for _ in range(3)], [True, True, False])
