--- a/caperstack/quarantine/crash.py
+++ b/caperstack/quarantine/crash.py
@@ -16,10 +16,10 @@
 #: same host a connection is accepted or refused within 0.2 ms.
 PROBE_TIMEOUT_SECONDS = 0.05
 
-#: Unanswered calls that are kept because they may still be running: this many of the
-#: latest up to the server's last response, and as many of the first after it.  It is
-#: twice the slots of the largest specified backend server.  Calls that reach a hung
-#: server later did not cause the hang.
+#: Unanswered calls that are kept because they may still be running: at most this many,
+#: the latest, when the server responds, and then the earliest after that response, up
+#: to twice this number in all.  It is twice the slots of the largest specified backend
+#: server.  Calls that reach a hung server later did not cause the hang.
 MAX_UNANSWERED = 36
 
 #: Low bits of a crash number, a hash that distinguishes crashes in the same microsecond.
@@ -28,12 +28,12 @@
 
 
 class BackendResult(IntEnum):
-    """What is known of a call at the backend server when the owner is done with it."""
+    """What the owner knows of a call's execution when it stops waiting for the answer."""
 
     #: The server answered, so it is alive and the call has ended.
     ANSWERED = 0
-    #: The call never ran.  Another server at the address may have said so, so this is
-    #: no evidence that the server is alive.
+    #: The call never ran.  The refusal may come from another server that now has the
+    #: address, so this is no evidence that the server is alive.
     NOT_RUN = 1
     #: The call may still be running.
     UNANSWERED = 2
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingCall:
-    """What is kept of a running call; not its body, which may be large."""
+    """The data kept about a running call, without its body, which may be large."""
 
     origin: str
     number: int
@@ -66,7 +66,7 @@
     instance : str
         The instance that crashed.
     pending_calls : dict
-        The `PendingCall` of each running call, by entry and number.
+        The `PendingCall` of each running call, by its entry (``origin``) and number.
     """
 
     number: int
@@ -83,7 +83,7 @@
         With ``async listens(deadline)``, as
         `caperstack.backend.client.BackendClient`.
     status : caperstack.admission.status.ServerStatus
-        The instance of the server and its state.
+        The server's instance and state.
 
     Notes
     -----
@@ -113,31 +113,32 @@
         """Record that `call` is sent to the backend server."""
         self._running[call.origin, call.id] = PendingCall.of(call)
 
-    def finish(self, call, left):
-        """Record that the owner is done with `call`, with the `BackendResult` `left`.
+    def finish(self, call, result):
+        """Record that the owner no longer waits for `call`, and its `BackendResult`.
 
         Notes
         -----
-        A call is cancelled when its caller disconnects or another attempt has won a
-        hedge.  The server may go on with it and crash, so an unanswered call is
-        kept as a possible cause; otherwise only other calls would be blamed.
+        The owner cancels a call when its caller disconnects, or when another attempt
+        of a hedged call has answered.  The server may go on with it and crash, so an
+        unanswered call is kept as a possible cause; otherwise only other calls would
+        be blamed.
         """
         pending = self._running.pop((call.origin, call.id), None)
-        if left == BackendResult.ANSWERED:
+        if result == BackendResult.ANSWERED:
             self.record_response()
         elif (
-            left == BackendResult.UNANSWERED
+            result == BackendResult.UNANSWERED
             and pending
             and len(self._unanswered) < 2 * MAX_UNANSWERED
         ):
             self._unanswered.append(pending)
 
     def record_response(self):
-        """Record a response of the server, which rules out calls past their deadline.
+        """Record a response of the server, and drop unanswered calls past their deadline.
 
         Notes
         -----
-        A call whose deadline has passed when the server responds did not crash it.
+        The server is alive after those deadlines, so these calls did not crash it.
         """
         self._last_response_at = now()
         self._crash_recorded = False
@@ -166,6 +167,7 @@
             listens = await self._client.listens(deadline_after(PROBE_TIMEOUT_SECONDS))
         finally:
             self._probe_task = None
+        # ``None`` means that the probe neither connected nor was refused.
         if listens is False and not self._is_leaving:
             self._record_crash()
 
@@ -174,7 +176,7 @@
         return self._status.state in (ServerState.DRAINING, ServerState.STOPPING)
 
     def on_server_restart(self):
-        """Handle a listed restart of the server: calls of the previous run ended with it."""
+        """Handle a listed restart of the server, which ended all calls of the previous run."""
         if self._is_leaving:
             self._unanswered.clear()
         self._record_crash()
@@ -197,7 +199,7 @@
         if not pending_calls or self._crash_recorded:
             # Calls sent to the address after the crash may reach the restarted server
             # before the restart is listed.  They must not count as a second crash, or
-            # a request that was running at two crashes would be charged with three.
+            # three crashes would count against a request that was running at two.
             return
         self._crash_recorded = True
         by_number = {(pending.origin, pending.number): pending for pending in pending_calls}
--- a/caperstack/quarantine/exchange.py
+++ b/caperstack/quarantine/exchange.py
@@ -14,12 +14,14 @@
 
 
 class SuspectExchange:
-    """Send new information on suspects to peers, and the restricted ones to a new peer.
+    """Send changed suspicions to peers, and all restricted suspects to a new peer.
+
+    A suspect is restricted if it may not be sent freely; see `Suspects.restricted`.
 
     Notes
     -----
     A node forwards each change once, to the few peers that it also notifies of
-    changed settings.  A crash thus costs each node a bounded number of messages,
+    changed settings.  Each node thus sends a bounded number of messages per crash,
     whatever the size of the fleet.  All changes of one event loop iteration are sent
     in one message.
 
@@ -54,9 +56,9 @@
         if not restricted:
             return
         try:
-            connection.send(Suspicions([suspicion_message(one) for one in restricted]))
+            connection.send(Suspicions([suspicion_message(s) for s in restricted]))
         except PeerError:
-            # They are sent again over the next connection to that peer.
+            # The suspects are sent again over the next connection to that peer.
             self._metrics.count("unsent_notices")
 
     def closed(self, host):
@@ -91,10 +93,10 @@
             told=len(hosts),
         )
         for host in hosts:
-            # The peer that sent the information already has it.
+            # A change is not sent back to the peer that it came from.
             suspicions = [
                 self._suspects.suspicion(r) for r, source in changes.items() if source != host
             ]
-            items = [suspicion_message(one) for one in suspicions if one is not None]
+            items = [suspicion_message(s) for s in suspicions if s is not None]
             if items:
                 self._sync.send(host, Suspicions(items))
--- a/caperstack/quarantine/suspects.py
+++ b/caperstack/quarantine/suspects.py
@@ -9,17 +9,17 @@
 
 __all__ = ["Clearing", "Crash", "Suspects", "Suspicion", "Verdict"]
 
-#: Number of server crashes during which a request was running, from which on it is
-#: isolated (one such request at a time), and from which on it is not sent at all.  An
-#: unrelated request is present at one crash by chance, and at a second if it was
-#: retried next to the cause.  With isolation only the cause reaches the third.
+#: A request that was running at this many server crashes is isolated (sent to a server
+#: that runs one such request at a time) or quarantined (not sent at all).  An unrelated
+#: request may be running at one crash by chance, and at a second if it was retried at
+#: the same server as the cause.  With isolation only the cause reaches the third.
 MIN_CRASHES_ALONE = 2
 MIN_CRASHES_QUARANTINED = 3
 
 #: Duration of the quarantine after the third crash in seconds; it doubles with each
-#: further crash up to the maximum.  Then the request may be tried again in isolation.
-#: The trial may crash a server with all calls on it, but it ends the quarantine of a
-#: request whose fault has been fixed.
+#: further crash up to the maximum.  Afterwards the request is sent again in isolation.
+#: That trial may crash a server and lose all calls on it, but it ends the quarantine of
+#: a request whose fault has been fixed.
 QUARANTINE_SECONDS = 300.0
 MAX_QUARANTINE_SECONDS = 3600.0
 
@@ -30,11 +30,11 @@
 #: blamed for the crash, in seconds.
 COMPLETION_VALID_SECONDS = 10.0
 
-#: Completed requests that are remembered.  A node answers up to 60 calls per second,
-#: so a request that comes every second is always among them.
+#: Number of completed requests that are remembered.  A node answers up to 60 calls per
+#: second, so a request that completes every second is always among them.
 MAX_COMPLETIONS = 256
 
-#: Suspects that are kept, and crashes per suspect: at most 200 kB.
+#: Number of suspects that are kept, and of crashes per suspect; together at most 200 kB.
 MAX_SUSPECTS = 512
 MAX_CRASHES_PER_SUSPECT = 8
 
@@ -52,8 +52,11 @@
 class Verdict(IntEnum):
     """How a request may be sent."""
 
+    #: Like any other request.
     FREE = 0
+    #: In isolation: once, to a server that runs one such request at a time.
     ALONE = 1
+    #: Not at all.
     QUARANTINED = 2
 
 
@@ -68,7 +71,7 @@
     caller : int
         Hash of the caller of the request that was running.
     clearing : Clearing
-        Whether a completed run has cleared the request of this crash.
+        How far a completed run has cleared the request of this crash.
     """
 
     number: int
@@ -78,7 +81,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspicion:
-    """All crashes known for one request; two suspicions are merged as a union."""
+    """All crashes known for one request; two suspicions are merged as a union.
+
+    Attributes
+    ----------
+    request : int
+        Hash of the request.
+    ends : tuple of Crash
+        The crashes.
+    """
 
     request: int
     ends: tuple
@@ -86,7 +97,17 @@
 
 @dataclass(slots=True)
 class _Record:
-    """The state of one suspect; ``logged_verdict`` is the last verdict in the log."""
+    """The state of one suspect.
+
+    Attributes
+    ----------
+    ends : dict
+        Each `Crash` by its number.
+    quarantined_until, expires_at : float
+        Times of the clock in seconds.
+    logged_verdict : Verdict
+        The last verdict in the log.
+    """
 
     ends: dict = field(default_factory=dict)
     quarantined_until: float = 0.0
@@ -103,15 +124,15 @@
         the same request of others is still served.  Once it has crashed servers for
         two callers and nobody has got an answer, the crashes count for everybody.
         """
-        own = sum(e.caller == caller and e.clearing < Clearing.ALL for e in self.ends.values())
-        open_ends = [e for e in self.ends.values() if e.clearing == Clearing.NONE]
-        shared = len({e.caller for e in open_ends}) > 1
-        return max(own, len(open_ends) if shared else 0)
+        own = sum(c.caller == caller and c.clearing < Clearing.ALL for c in self.ends.values())
+        uncleared = [c for c in self.ends.values() if c.clearing == Clearing.NONE]
+        shared = len({c.caller for c in uncleared}) > 1
+        return max(own, len(uncleared) if shared else 0)
 
     @property
     def max_count(self):
         """The highest count among the callers."""
-        return max(self.count(caller) for caller in {e.caller for e in self.ends.values()})
+        return max(self.count(caller) for caller in {c.caller for c in self.ends.values()})
 
 
 class Suspects:
@@ -119,9 +140,9 @@
 
     Notes
     -----
-    A request that crashes every backend server that runs it may come again under a
-    new id at any node, and entries that lost the call retry it.  Without quarantine
-    a service would lose all its servers again and again.
+    A request that crashes every backend server that runs it may arrive again under a
+    new id at any node, and entries retry a call whose answer was lost.  Without
+    quarantine a service would lose all its servers again and again.
 
     Each node decides on its own, from the crashes that owners report.  Reports on a
     request are merged as a union, so neither their order nor repetition matters.
@@ -185,8 +206,8 @@
         for fingerprint in fingerprints:
             clearing = self._clearing_by_completions(fingerprint)
             if clearing != Clearing.ALL:
-                end = Crash(number, fingerprint.caller, clearing)
-                self.take(Suspicion(fingerprint.request, (end,)))
+                crash = Crash(number, fingerprint.caller, clearing)
+                self.take(Suspicion(fingerprint.request, (crash,)))
 
     def implicates(self, number, fingerprint):
         """Return whether crash `number` is recorded for a request."""
@@ -194,7 +215,7 @@
         return record is not None and number in record.ends
 
     def record_completion(self, fingerprint):
-        """Record that a request completed, and clear it of the crashes before."""
+        """Record that a request completed, which clears it of earlier crashes."""
         if not fingerprint.request:
             return
         until = deadline_after(COMPLETION_VALID_SECONDS)
@@ -205,19 +226,20 @@
             self._completions.popitem(last=False)
         record = self._records.get(fingerprint.request)
         if record is not None:
-            ends = (
-                Crash(e.number, e.caller, self._cleared(e, fingerprint))
-                for e in record.ends.values()
+            crashes = (
+                Crash(c.number, c.caller, self._cleared(c, fingerprint))
+                for c in record.ends.values()
             )
-            self.take(Suspicion(fingerprint.request, tuple(ends)))
+            self.take(Suspicion(fingerprint.request, tuple(crashes)))
 
     @staticmethod
-    def _cleared(end, fingerprint):
-        same = end.caller == fingerprint.caller
-        return max(end.clearing, Clearing.ALL if same else Clearing.OTHERS)
+    def _cleared(crash, fingerprint):
+        """Return the `Clearing` of `crash` after the request completed for a caller."""
+        same = crash.caller == fingerprint.caller
+        return max(crash.clearing, Clearing.ALL if same else Clearing.OTHERS)
 
     def _clearing_by_completions(self, fingerprint):
-        """Return the `Clearing` by recent completed runs on this node."""
+        """Return how far recent completed runs on this node clear the request."""
         moment = now()
         if self._completions.get(fingerprint, 0.0) > moment:
             return Clearing.ALL
@@ -226,12 +248,12 @@
         return Clearing.NONE
 
     def take(self, suspicion, source=""):
-        """Merge the `suspicion` of the peer `source`; of this node itself if empty.
+        """Merge a `suspicion` from the peer `source`, or from this node if that is empty.
 
         Returns
         -------
         bool
-            Whether it contained anything new.
+            Whether the suspicion contained anything new.
         """
         if not suspicion.ends or not suspicion.request:
             return False
@@ -249,11 +271,11 @@
             listener(suspicion.request, source)
         return True
 
-    def _update_verdict(self, request, record, further, source):
+    def _update_verdict(self, request, record, has_new_crash, source):
         record.expires_at = deadline_after(SUSPECT_TTL_SECONDS)
         self._records.move_to_end(request)
         count = record.max_count
-        if further and count >= MIN_CRASHES_QUARANTINED:
+        if has_new_crash and count >= MIN_CRASHES_QUARANTINED:
             seconds = QUARANTINE_SECONDS * 2 ** (count - MIN_CRASHES_QUARANTINED)
             record.quarantined_until = deadline_after(min(MAX_QUARANTINE_SECONDS, seconds))
         previous, record.logged_verdict = record.logged_verdict, _verdict_at(count)
@@ -273,7 +295,9 @@
         if len(self._records) < MAX_SUSPECTS:
             return
         unrestricted = (
-            r for r, record in self._records.items() if record.max_count < MIN_CRASHES_ALONE
+            request
+            for request, record in self._records.items()
+            if record.max_count < MIN_CRASHES_ALONE
         )
         del self._records[next(unrestricted, next(iter(self._records)))]
 
@@ -285,7 +309,7 @@
         return None if record is None else Suspicion(request, tuple(record.ends.values()))
 
     def restricted(self):
-        """Return the suspicions with two or more crashes, which restrict how to send."""
+        """Return the suspicions on requests that are isolated or quarantined."""
         records = self._records.items()
         return [self.suspicion(r) for r, record in records if record.max_count >= MIN_CRASHES_ALONE]
 
@@ -306,10 +330,10 @@
     other the crashes that the other has dropped.
     """
     union = dict(held)
-    for end in ends:
-        known = union.get(end.number)
-        if known is None or known.clearing < end.clearing:
-            union[end.number] = end
+    for crash in ends:
+        known = union.get(crash.number)
+        if known is None or known.clearing < crash.clearing:
+            union[crash.number] = crash
     return {number: union[number] for number in sorted(union)[-MAX_CRASHES_PER_SUSPECT:]}
 
 
