--- a/caperstack/routing/budgets.py
+++ b/caperstack/routing/budgets.py
@@ -93,8 +93,7 @@
     floor : float
         Extra attempts per window in addition to the share.
     window_seconds : float
-        The length of the window in seconds; the limit holds for a window that starts
-        at any time.
+        The length of the sliding window in seconds.
     """
 
     share: float
@@ -108,10 +107,11 @@
         -----
         With independent budgets, the retries of all entries together could double
         the load of a service that fails part of its calls.  The parts of all nodes
-        therefore sum to at most the whole.  In any window a bucket grants at most
-        its capacity and its inflow, each a quarter of the node's part of the floor.
-        The other half is left for the calls that a retried call makes downstream,
-        and for nodes that join and leave.
+        therefore sum to at most the whole.  Besides the tokens earned by first attempts,
+        a bucket grants in any window at most its capacity and the tokens added over
+        time, each a quarter of the node's part of the floor (the capacity is at least
+        one token).  The other half is left for the calls that a retried call makes
+        downstream, and for nodes that join and leave.
         """
         part = self._floor_part(nodes)
         return CallBudget(max(1.0, part), min(1.0, part), part / self.window_seconds)
@@ -125,5 +125,5 @@
         return self.floor / max(MIN_NODES, nodes) / 4
 
     def deposit_share(self):
-        """Return the share that a first attempt earns: half, as `budget` explains."""
+        """Return the share of a token that a first attempt earns; see `budget` for the half."""
         return self.share / 2
--- a/caperstack/routing/candidates.py
+++ b/caperstack/routing/candidates.py
@@ -52,7 +52,8 @@
 
         Notes
         -----
-        Rendezvous hashing of the request's fingerprint and the host names.
+        The choice is by rendezvous hashing of the request's fingerprint and the host
+        names, among all members of the service instead of this entry's subset.
         """
         members = self._healthy(self._members.usable(self._members.of_service(call.service)))
         name = call.fingerprint.text
@@ -62,7 +63,7 @@
         """Return the members of this entry's subset that accept new calls."""
         members = self._members.usable(self.subset(call.service))
         if not members:
-            # The whole subset is leaving or gone: fall back to all members.
+            # The whole subset is leaving, gone or in evacuated zones: fall back to all members.
             members = self._members.usable(self._members.of_service(call.service))
         for member in members:
             member.owner.freshen(member.estimate)
@@ -113,14 +114,14 @@
         return choose(state.policy, self._healthy(members), context)
 
     def _healthy(self, members):
-        """Return the healthy members, or all if too many seem unhealthy.
+        """Return the members that are up and not ejected; all that are up if most are ejected.
 
         Notes
         -----
-        When most servers seem down at once, the cause is probably on this node: a
-        network partition, or a pause of the process.  Ejecting them all would turn
-        that into an outage, so no member is ejected if the share of ejected ones
-        exceeds `MAX_EJECTED_SHARE`.
+        When most servers seem to fail at once, the cause is probably on this node: a
+        network partition, or a pause of the process.  Avoiding them all would turn
+        that into an outage.  Ejections are therefore ignored if the share of ejected
+        members exceeds `MAX_EJECTED_SHARE`, and all members are kept if all seem down.
         """
         usable = [m for m in members if m.owner.usable and m.estimate.state != ServerState.DOWN]
         if not usable:
--- a/caperstack/routing/dispatch.py
+++ b/caperstack/routing/dispatch.py
@@ -87,7 +87,7 @@
     # -- sequential attempts ----------------------------------------------
 
     async def _try_sequentially(self, call, state, settings, tried, attempts, queues=True):
-        """Try members until one answers; with `queues`, finally queue at the best one.
+        """Try members until one answers; if `queues`, finally queue at the best one.
 
         Notes
         -----
@@ -106,8 +106,8 @@
                 return self._refuse_quarantined(call, best)
             if verdict == Verdict.ALONE:
                 return await self._try_isolated(call, state, attempts, best)
-            asks = refusals < settings.refusals_per_call
-            member = self.candidates.pick_available(call, state, tried) if asks else None
+            may_offer = refusals < settings.refusals_per_call
+            member = self.candidates.pick_available(call, state, tried) if may_offer else None
             last = member is None
             if last and queues:
                 member = self.candidates.pick_any(call, state, failed)
@@ -119,8 +119,9 @@
             if _is_final(outcome):
                 return best
             if isinstance(outcome, NotRun) and not outcome.offered:
-                # Refused while queued: final, unless the server started to leave
-                # meanwhile, which says nothing about the other members.
+                # No server received the call.  If it was to queue at the best member, this
+                # is final, unless that member has begun to leave or drain meanwhile, which
+                # says nothing about the others.
                 if last and not member.leaving:
                     return best
                 attempts.give_back()
@@ -188,8 +189,8 @@
         attempt.last = last or len(self._members.of_service(call.service)) < 2
         attempt.queue_until = call.deadline
         if not attempt.last:
-            patience = deadline_after(QUEUE_WAIT_FACTOR * state.baseline_seconds)
-            attempt.queue_until = min(call.deadline, patience)
+            queue_limit = deadline_after(QUEUE_WAIT_FACTOR * state.baseline_seconds)
+            attempt.queue_until = min(call.deadline, queue_limit)
         begun = attempt.sent_at = now()
         call.notes.append((begun, f"to {member.host}"))
         estimate = member.estimate
@@ -231,8 +232,8 @@
         if refused:
             return
         if isinstance(outcome, Unknown) and outcome.end:
-            # Recorded here, before this call is retried: the notice that peers
-            # send of the crash arrives later.
+            # The crash is recorded before this call is retried, since the suspicion that
+            # peers send arrives later.
             self._suspects.record_crash(outcome.end, (call.fingerprint,))
         failed = isinstance(outcome, Unknown) or outcome.status >= 500
         if member.estimate.record_result(failed):
@@ -258,7 +259,7 @@
                 first.cancel()
 
     def _may_hedge(self, call, state, tried, attempts):
-        """Return whether another server has a free slot and the budget allows a hedge.
+        """Return whether another server has a free slot and the budgets allow a hedge.
 
         Notes
         -----
@@ -272,12 +273,17 @@
             return False
         return bool(self.candidates.free(call, state, tried)) and state.hedges.withdraw()
 
-    async def _race(self, call, state, settings, bounds, first):
+    async def _race(self, call, state, settings, shared, first):
+        """Send a hedge beside the task `first`, and return the better of the two outcomes.
+
+        The first final answer cancels the other attempt.  `shared` holds the members
+        tried and the `Attempts` left, which both tasks use.
+        """
         self._metrics.count("hedges", service=call.service)
         call.notes.append((now(), "hedged"))
         self._events.decision("entry hedges", call, usual_ms=round(state.baseline_seconds * 1000))
         second = asyncio.ensure_future(
-            self._try_sequentially(call, state, settings, *bounds, queues=False)
+            self._try_sequentially(call, state, settings, *shared, queues=False)
         )
         racers = {first, second}
         outcomes = []
@@ -294,7 +300,7 @@
 
 
 def _is_final(outcome):
-    """Return whether `outcome` is an answer that a retry would not improve."""
+    """Return whether `outcome` is an answer whose status does not call for a retry."""
     return isinstance(outcome, Answered) and outcome.status not in REPEATABLE_STATUSES
 
 
--- a/caperstack/routing/estimates.py
+++ b/caperstack/routing/estimates.py
@@ -5,8 +5,9 @@
 
 __all__ = ["Estimate"]
 
-#: Seconds over which the weight of a load report decays to zero: for its counts of
-#: calls in flight and queued, and for its service time and failure share.
+#: Seconds over which the weight of an observation decays to zero: `LOAD_SECONDS` for
+#: the reported counts of calls, `SERVICE_SECONDS` for the reported service time, and for
+#: failures and refusals.
 LOAD_SECONDS = 0.5
 SERVICE_SECONDS = 5.0
 
@@ -14,20 +15,21 @@
 #: after which a link counts as dead.
 MAX_SLOWDOWN_AGE_SECONDS = 2.0
 
-#: Penalty of a full server without a queue against an empty one, in service times.
+#: Penalty of a full server without a queue compared with an empty one, in service times.
 OCCUPANCY_PENALTY = 0.2
 
 #: A reported service time counts only from this multiple of the baseline on; smaller
 #: differences are random variation.
 SLOW_SERVICE_FACTOR = 2.5
 
-#: Additional time of a call at a cold server, in baseline service times.
+#: Additional expected time of a call at a cold server, in baseline durations.
 COLD_PENALTY_FACTOR = 1.0
 
 #: Concurrency limit assumed for a server without a recent load report.
 UNREPORTED_LIMIT = 2
 
-#: Refresh interval of `Estimate.published` in seconds; only the baseline policies use it.
+#: Refresh interval of `Estimate.published` in seconds; only the policies that serve as
+#: a comparison for ``load_aware`` use it.
 PUBLISHED_SECONDS = 1.0
 
 #: A server is ejected once it has at least this many results and at least this share
@@ -40,7 +42,7 @@
 #: Weight of the latest result in the moving average of failures.
 FAILURE_WEIGHT = 0.2
 
-#: Concurrency limit assumed before the first load report.
+#: Concurrency limit of the `Load` that stands in until the first load report.
 INITIAL_LIMIT = 20
 
 #: A body of at least this size is sent only when the owner is about to run the call,
@@ -71,8 +73,8 @@
 
         Notes
         -----
-        Otherwise a server that restarts after failures or a drain would get no
-        calls until the ejection of its previous run ends.
+        Otherwise a server that restarts after failures or a drain would get no calls
+        while the ejection or the reported state of its previous run lasts.
         """
         self._load = Load(limit=self._load.limit)
         self._in_flight_at_report = self.in_flight
@@ -114,7 +116,7 @@
 
     @property
     def ejected(self):
-        """Whether the server is ejected for the moment because its calls failed."""
+        """Whether the server gets no calls for the moment because earlier ones failed."""
         return now() < self._ejected_until
 
     @property
@@ -124,7 +126,8 @@
         Notes
         -----
         The entry's own observations decay like the reported ones.  Only calls can
-        show that a server has recovered, and it gets none while others look better.
+        show that a server has recovered, and without decay it would get none while
+        others look better.
         """
         own = self._failing * _remaining_weight(self._result_at, SERVICE_SECONDS)
         return max(own, self._load.failing / 100 * self._report_weight(SERVICE_SECONDS))
@@ -146,16 +149,16 @@
         -----
         The calls of other entries lose weight as the load report ages; the own
         calls are known exactly.  The estimate of a server without recent calls
-        returns to the baseline, so the server is tried again.
+        returns to the baseline, so that the server is tried again.
         """
         occupancy = self._occupancy()
-        usable = max(0.05, 1.0 - self.failing)
+        success_share = max(0.05, 1.0 - self.failing)
         service = self._service_seconds(baseline)
         penalty = OCCUPANCY_PENALTY * min(1.0, occupancy)
         delay = SLOW_PHASE_LEFT_SECONDS if self.slowed else 0.0
         if self.state == ServerState.COLD:
             delay += COLD_PENALTY_FACTOR * baseline
-        return delay + service * (max(1.0, occupancy) + penalty) / usable**2
+        return delay + service * (max(1.0, occupancy) + penalty) / success_share**2
 
     def expected_wait(self, baseline):
         """Return the expected time from arrival until a slot is free, in seconds."""
@@ -163,8 +166,8 @@
 
     def _service_seconds(self, baseline):
         # With heavy-tailed service times the averages of equal servers differ by
-        # half from moment to moment.  If they counted, all entries would queue at the
-        # seemingly fastest server while the others have free slots.
+        # half from moment to moment.  If such differences counted, all entries would
+        # queue at the seemingly fastest server while the others have free slots.
         reported = self._load.service_us / 1e6
         if reported < SLOW_SERVICE_FACTOR * baseline:
             return baseline
--- a/caperstack/routing/policies.py
+++ b/caperstack/routing/policies.py
@@ -1,4 +1,4 @@
-"""Policies that choose a backend server: ``load_aware`` and baselines to compare it with."""
+"""Policies that choose a backend server: ``load_aware`` and others to compare it with."""
 
 from dataclasses import dataclass, field
 from functools import singledispatch
@@ -18,11 +18,11 @@
 ZONE_HOP_SECONDS = 0.002
 REGION_HOP_SECONDS = 0.060
 
-#: Candidates that are compared; a service with more members is sampled.
+#: Largest number of candidates that are compared; of more, a random sample is taken.
 SAMPLE_SIZE = 8
 
-#: Scores within this factor of the best count as equal.  Otherwise all entries with
-#: the same load report would choose the same server.
+#: Expected times within this factor of the shortest count as equal.  Otherwise all
+#: entries with the same load report would choose the same server.
 NEAR_BEST_FACTOR = 1.1
 
 
@@ -60,7 +60,10 @@
 
 @dataclass
 class LoadAware:
-    """Choose the shortest expected time to answer, by own calls and load reports."""
+    """Choose among the servers with nearly the shortest expected time to answer.
+
+    The expected time comes from the entry's own calls and the load reports.
+    """
 
 
 _POLICIES = {
@@ -123,7 +126,7 @@
     scores = [m.estimate.expected_seconds(baseline) + _hop_seconds(m, context) for m in sample]
     threshold = min(scores) * NEAR_BEST_FACTOR
     near = [m for m, score in zip(sample, scores, strict=True) if score <= threshold]
-    # Prefer the own zone among equals: traffic between zones is billed.
+    # Prefer the entry's zone among equals, since traffic between zones is billed.
     return context.rng.choice([m for m in near if m.zone == context.zone] or near)
 
 
--- a/caperstack/routing/service.py
+++ b/caperstack/routing/service.py
@@ -19,10 +19,11 @@
 #: Durations enter the average of a service as at most this multiple of it.
 OUTLIER_FACTOR = 10.0
 
-#: Routes with an average of their own; at the bound all are dropped and measured again.
+#: Largest number of routes with their own average; when it is reached, all averages are
+#: dropped and measured again.
 MAX_ROUTES = 500
 
-#: Answers of a route from which on its average duration is used.
+#: Number of answers of a route before its average duration is used.
 MIN_ROUTE_ANSWERS = 10
 
 #: Delay of a hedge in baseline durations of the service, and its minimum, where
@@ -55,7 +56,7 @@
         return True
 
     def give_back(self):
-        """Return a reserved attempt that was not sent to a backend server."""
+        """Return a reserved attempt that no backend server received."""
         self.left += 1
 
 
@@ -69,12 +70,12 @@
     retries : caperstack.routing.budgets.CallBudget
         The budget for attempts beyond the first.
     hedges : caperstack.routing.budgets.CallBudget, optional
-        The budget for hedges; one of their own if not given.
+        The budget for hedges; a separate new one if not given.
 
     Attributes
     ----------
     allowance_version : int
-        The version of the membership for which the fleet's allowance was last divided.
+        The version of the membership when the fleet's allowance was last divided.
     """
 
     def __init__(self, policy_name, retries, hedges=None):
--- a/caperstack/routing/table.py
+++ b/caperstack/routing/table.py
@@ -82,10 +82,16 @@
 
 @dataclass(slots=True)
 class RoutingTable:
-    """Routes by host and prefix, services by name, and rejected items with the reason.
+    """Routes, settings of services, and the rejected subtrees of the settings.
 
     Attributes
     ----------
+    routes : dict
+        Lists of `Route` by host and path prefix.
+    services : dict
+        The `EffectiveService` of each service by its name.
+    problems : dict
+        The reasons why a subtree was rejected, as a list by its path.
     evacuated_zones : frozenset of str
         The zones whose backend servers get no new calls.
     """
