--- a/caperstack/quarantine/tests/test_crash.py
+++ b/caperstack/quarantine/tests/test_crash.py
@@ -19,14 +19,14 @@
 
     def setUp(self):
         self.listening = False
-        self.asked = 0
+        self.probes = 0
         self.status = SimpleNamespace(state=ServerState.WARM, instance="i-1", born_ms=0)
         self.detector = CrashDetector(self, self.status)
         self.crashes = []
         self.detector.listen(self.crashes.append)
 
     async def listens(self, _deadline):
-        self.asked += 1
+        self.probes += 1
         return self.listening
 
     def crashed_calls(self):
@@ -42,7 +42,7 @@
         self.detector.begin(second)
         end = await self.detector.lost(first)
         self.assertEqual((await self.detector.lost(second)).number, end.number)
-        self.assertEqual((self.crashed_calls(), self.asked), ([[1, 2]], 1))
+        self.assertEqual((self.crashed_calls(), self.probes), ([[1, 2]], 1))
 
     async def test_lost_answer_of_a_listening_server_is_no_crash(self):
         self.listening = True
--- a/caperstack/quarantine/tests/test_suspects.py
+++ b/caperstack/quarantine/tests/test_suspects.py
@@ -38,14 +38,14 @@
     def setUp(self):
         self.time = 1000.0
         self.enterContext(clock.use_source(lambda: self.time))
-        self.suspects = self.new()
+        self.suspects = self.new_suspects()
 
-    def new(self):
+    def new_suspects(self):
         suspects = Suspects()
         suspects._events = mock.Mock()
         return suspects
 
-    def end(self, number, *fingerprints):
+    def record_crash(self, number, *fingerprints):
         self.suspects.record_crash(number, fingerprints)
 
 
@@ -56,24 +56,24 @@
         # Three servers crash in turn.  The fatal request was running at each of them, an
         # unrelated one that was retried next to it at two: it is isolated, but not
         # quarantined.
-        self.end(11, FATAL, UNRELATED)
+        self.record_crash(11, FATAL, UNRELATED)
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.FREE)
-        self.end(12, FATAL, UNRELATED)
+        self.record_crash(12, FATAL, UNRELATED)
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.ALONE)
-        self.end(13, FATAL)
+        self.record_crash(13, FATAL)
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.QUARANTINED)
         self.assertEqual(self.suspects.verdict(UNRELATED), Verdict.ALONE)
 
     def test_crash_reported_twice_counts_once(self):
         for _ in range(5):
-            self.end(11, FATAL)
+            self.record_crash(11, FATAL)
         self.assertEqual(self.suspects.count(FATAL), 1)
 
     def test_frequent_request_that_completes_between_unrelated_crashes_stays_free(self):
         # A frequent request is running at every server.  The servers crash in turn for
         # another reason, and the request completes elsewhere in between.
         for number in range(20):
-            self.end(number, UNRELATED)
+            self.record_crash(number, UNRELATED)
             self.suspects.record_completion(UNRELATED)
             self.assertEqual(self.suspects.verdict(UNRELATED), Verdict.FREE)
 
@@ -82,24 +82,24 @@
         # all three and had no chance to complete in between.
         self.suspects.record_completion(UNRELATED)
         for number in range(3):
-            self.end(number, UNRELATED, FATAL)
+            self.record_crash(number, UNRELATED, FATAL)
         self.assertEqual(self.suspects.count(UNRELATED), 0)
         self.time += COMPLETION_VALID_SECONDS + 1.0
-        self.end(4, UNRELATED)
+        self.record_crash(4, UNRELATED)
         self.assertEqual(self.suspects.count(UNRELATED), 1)
 
     def test_quarantined_frequent_request_is_cleared_by_a_run_in_progress(self):
         # Three servers fail at once, and the nodes have just started and remember no
         # completed runs.  A run at a fourth server that began before completes.
         for number in range(3):
-            self.end(number, UNRELATED)
+            self.record_crash(number, UNRELATED)
         self.assertEqual(self.suspects.verdict(UNRELATED), Verdict.QUARANTINED)
         self.suspects.record_completion(UNRELATED)
         self.assertEqual(self.suspects.verdict(UNRELATED), Verdict.FREE)
 
     def test_request_that_is_fatal_for_one_caller_is_quarantined_for_that_caller_only(self):
         for number in range(3):
-            self.end(number, FATAL)
+            self.record_crash(number, FATAL)
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.QUARANTINED)
         self.assertEqual(self.suspects.verdict(OTHER_CALLER), Verdict.FREE)
         self.suspects.record_completion(OTHER_CALLER)
@@ -109,17 +109,17 @@
         # Callers on the hosts of every service send it: if crashes counted per caller,
         # each caller would cause a few more.
         for number in range(3):
-            self.end(number, FATAL)
-        self.end(4, OTHER_CALLER)
+            self.record_crash(number, FATAL)
+        self.record_crash(4, OTHER_CALLER)
         for caller in (1, 2, 3):
             self.assertEqual(self.suspects.verdict(Fingerprint(1, caller)), Verdict.QUARANTINED)
 
     def test_quarantine_ends_with_a_trial_and_is_longer_after_a_failed_one(self):
         for number in range(3):
-            self.end(number, FATAL)
+            self.record_crash(number, FATAL)
         self.time += QUARANTINE_SECONDS + 1.0
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.ALONE)
-        self.end(4, FATAL)
+        self.record_crash(4, FATAL)
         self.time += QUARANTINE_SECONDS + 1.0
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.QUARANTINED)
         self.time += QUARANTINE_SECONDS
@@ -129,21 +129,21 @@
 
     def test_retry_after_is_the_time_until_the_next_trial(self):
         for number in range(3):
-            self.end(number, FATAL)
+            self.record_crash(number, FATAL)
         call = Call(1, "n", "r", "s", "GET", "/", [], b"", self.time + 5, True, fingerprint=FATAL)
         self.time += 100.0
         self.assertAlmostEqual(self.suspects.refusal(call).retry_after, QUARANTINE_SECONDS - 100.0)
 
     def test_old_suspect_is_dropped(self):
         for number in range(2):
-            self.end(number, FATAL)
+            self.record_crash(number, FATAL)
         self.time += SUSPECT_TTL_SECONDS + 1.0
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.FREE)
         self.assertEqual(self.suspects.count(FATAL), 0)
 
     def test_call_without_a_fingerprint_is_never_a_suspect(self):
         for number in range(5):
-            self.end(number, Fingerprint())
+            self.record_crash(number, Fingerprint())
         self.assertEqual(self.suspects.verdict(Fingerprint()), Verdict.FREE)
 
 
@@ -156,7 +156,7 @@
     def test_order_and_repetition_of_reports_do_not_matter(self, reports, rng):
         views = []
         for _ in range(3):
-            suspects = self.new()
+            suspects = self.new_suspects()
             order = [*reports, *reports]
             rng.shuffle(order)
             for ends in order:
@@ -165,7 +165,7 @@
         self.assertEqual(views, views[:1] * 3)
 
     def test_two_nodes_that_dropped_different_crashes_stop_exchanging_them(self):
-        one, two = self.new(), self.new()
+        one, two = self.new_suspects(), self.new_suspects()
         for number in range(2 * MAX_CRASHES_PER_SUSPECT):
             (one if number % 2 else two).take(Suspicion(1, (Crash(number, 1),)))
         for count in itertools.count():
@@ -190,8 +190,8 @@
 
     def test_only_suspects_of_several_crashes_are_restricted(self):
         for number in range(2):
-            self.end(number, FATAL)
-        self.end(3, UNRELATED)
+            self.record_crash(number, FATAL)
+        self.record_crash(3, UNRELATED)
         self.assertEqual([one.request for one in self.suspects.restricted()], [FATAL.request])
 
 
@@ -201,10 +201,10 @@
     def test_unrestricted_suspects_are_evicted_first(self):
         # Hundreds of servers crash, each with a dozen running calls.
         for number in range(3):
-            self.end(number, FATAL)
+            self.record_crash(number, FATAL)
         rng = random.Random(1)
         for number in range(10 * MAX_SUSPECTS):
-            self.end(10 + number, Fingerprint(rng.getrandbits(64), 1))
+            self.record_crash(10 + number, Fingerprint(rng.getrandbits(64), 1))
             self.suspects.record_completion(Fingerprint(rng.getrandbits(64), 1))
         self.assertEqual(self.suspects.verdict(FATAL), Verdict.QUARANTINED)
         self.assertLessEqual(len(self.suspects._records), MAX_SUSPECTS)
--- a/caperstack/routing/tests/test_dispatch.py
+++ b/caperstack/routing/tests/test_dispatch.py
@@ -234,12 +234,12 @@
 
     FATAL = Fingerprint(5, 1)
 
-    def fixture(self, *owners, ends=0, **settings):
+    def fixture(self, *owners, crashes=0, **settings):
         fixture = DispatcherFixture(*owners, **settings)
         self.suspects = fixture.dispatcher._suspects
         self.suspects._events = mock.Mock()
         self.suspects.record_crash(1, [Fingerprint(6, 1)])
-        for number in range(ends):
+        for number in range(crashes):
             self.suspects.record_crash(10 + number, [self.FATAL])
         return fixture
 
@@ -251,14 +251,14 @@
 
     def test_quarantined_request_is_not_sent_and_reported_as_not_run(self):
         owner = FakeOwner(OK_ANSWER)
-        outcome = self.send(self.fixture(owner, ends=3))
+        outcome = self.send(self.fixture(owner, crashes=3))
         self.assertIsInstance(outcome, NotRun)
         self.assertEqual((outcome.status, owner.calls), (503, []))
         self.assertGreater(outcome.retry_after, 100.0)
 
     def test_other_requests_are_sent_as_usual(self):
         self.assertEqual(
-            self.send(self.fixture(FakeOwner(OK_ANSWER), ends=3), Fingerprint(6, 1)), OK_ANSWER
+            self.send(self.fixture(FakeOwner(OK_ANSWER), crashes=3), Fingerprint(6, 1)), OK_ANSWER
         )
 
     def test_call_that_crashed_two_servers_is_not_sent_to_a_third(self):
@@ -280,7 +280,7 @@
             return OK_ANSWER
 
         slow, quick = FakeOwner(hangs), FakeOwner(OK_ANSWER)
-        self.send(self.fixture(slow, quick, ends=1, hedge_share=0.5))
+        self.send(self.fixture(slow, quick, crashes=1, hedge_share=0.5))
         self.assertEqual(len(quick.calls), 0)
 
     def test_all_entries_send_an_isolated_suspect_to_one_server(self):
@@ -288,7 +288,7 @@
         used = set()
         for seed in range(8):
             owners = [FakeOwner(OK_ANSWER) for _ in range(4)]
-            fixture = self.fixture(*owners, ends=2)
+            fixture = self.fixture(*owners, crashes=2)
             fixture.dispatcher.candidates._rng.seed(seed)
             self.send(fixture)
             used.update(n for n, owner in enumerate(owners) if owner.calls)
@@ -296,7 +296,7 @@
 
     def test_refused_isolated_suspect_is_not_sent_elsewhere(self):
         owners = [FakeOwner(NotRun("another suspect is at work")) for _ in range(4)]
-        self.assertIsInstance(self.send(self.fixture(*owners, ends=2)), NotRun)
+        self.assertIsInstance(self.send(self.fixture(*owners, crashes=2)), NotRun)
         self.assertEqual(sum(len(owner.calls) for owner in owners), 1)
 
     def test_call_that_ran_and_is_quarantined_meanwhile_is_not_reported_as_not_run(self):
