--- a/caperstack/quarantine/tests/test_crash.py
+++ b/caperstack/quarantine/tests/test_crash.py
@@ -31,7 +31,8 @@
 
     def crashed_calls(self):
         return [
-            sorted(pending.number for pending in end.pending_calls.values()) for end in self.crashes
+            sorted(pending.number for pending in crash.pending_calls.values())
+            for crash in self.crashes
         ]
 
     async def test_refused_connection_is_a_crash_with_all_running_calls(self):
@@ -40,8 +41,8 @@
         first, second = call(1), call(2)
         self.detector.begin(first)
         self.detector.begin(second)
-        end = await self.detector.lost(first)
-        self.assertEqual((await self.detector.lost(second)).number, end.number)
+        crash = await self.detector.lost(first)
+        self.assertEqual((await self.detector.lost(second)).number, crash.number)
         self.assertEqual((self.crashed_calls(), self.probes), ([[1, 2]], 1))
 
     async def test_lost_answer_of_a_listening_server_is_no_crash(self):
--- a/caperstack/quarantine/tests/test_suspects.py
+++ b/caperstack/quarantine/tests/test_suspects.py
@@ -159,9 +159,9 @@
             suspects = self.new_suspects()
             order = [*reports, *reports]
             rng.shuffle(order)
-            for ends in order:
-                suspects.take(Suspicion(1, tuple(ends)))
-            views.append([(e.number, e.clearing) for e in suspects.suspicion(1).ends])
+            for report in order:
+                suspects.take(Suspicion(1, tuple(report)))
+            views.append([(c.number, c.clearing) for c in suspects.suspicion(1).ends])
         self.assertEqual(views, views[:1] * 3)
 
     def test_two_nodes_that_dropped_different_crashes_stop_exchanging_them(self):
@@ -169,8 +169,8 @@
         for number in range(2 * MAX_CRASHES_PER_SUSPECT):
             (one if number % 2 else two).take(Suspicion(1, (Crash(number, 1),)))
         for count in itertools.count():
-            news = two.take(one.suspicion(1)), one.take(two.suspicion(1))
-            if not any(news):
+            changed = two.take(one.suspicion(1)), one.take(two.suspicion(1))
+            if not any(changed):
                 break
             self.assertLess(count, 5)
         self.assertEqual(one.suspicion(1), two.suspicion(1))
