--- a/caperstack/quarantine/crash.py
+++ b/caperstack/quarantine/crash.py
@@ -16,10 +16,10 @@
 #: same host a connection is accepted or refused within 0.2 ms.
 PROBE_TIMEOUT_SECONDS = 0.05
 
-#: Unanswered calls that are kept because they may still be running: this many of the
-#: latest up to the server's last response, and as many of the first after it.  It is
-#: twice the slots of the largest specified backend server.  Calls that reach a hung
-#: server later did not cause the hang.
+#: Unanswered calls that are kept because they may still be running: at most this many,
+#: the latest, when the server responds, and then the earliest after that response, up
+#: to twice this number in all.  It is twice the slots of the largest specified backend
+#: server.  Calls that reach a hung server later did not cause the hang.
 MAX_UNANSWERED = 36
 
 #: Low bits of a crash number, a hash that distinguishes crashes in the same microsecond.
@@ -28,12 +28,12 @@
 
 
 class BackendResult(IntEnum):
-    """What is known of a call at the backend server when the owner is done with it."""
+    """What the owner knows of a call's execution when it stops waiting for the answer."""
 
     #: The server answered, so it is alive and the call has ended.
     ANSWERED = 0
-    #: The call never ran.  Another server at the address may have said so, so this is
-    #: no evidence that the server is alive.
+    #: The call never ran.  The refusal may come from another server that now has the
+    #: address, so this is no evidence that the server is alive.
     NOT_RUN = 1
     #: The call may still be running.
     UNANSWERED = 2
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingCall:
-    """What is kept of a running call; not its body, which may be large."""
+    """The data kept about a running call, without its body, which may be large."""
 
     origin: str
     number: int
@@ -66,7 +66,7 @@
     instance : str
         The instance that crashed.
     pending_calls : dict
-        The `PendingCall` of each running call, by entry and number.
+        The `PendingCall` of each running call, by its entry (``origin``) and number.
     """
 
     number: int
@@ -82,8 +82,8 @@
     client : object
         With ``async listens(deadline)``, as
         `caperstack.backend.client.BackendClient`.
-    standing : caperstack.admission.status.ServerStatus
-        The instance of the server and its state.
+    status : caperstack.admission.status.ServerStatus
+        The server's instance and state.
 
     Notes
     -----
@@ -94,9 +94,9 @@
     stopping is not a crash.
     """
 
-    def __init__(self, client, standing):
+    def __init__(self, client, status):
         self._client = client
-        self._standing = standing
+        self._status = status
         self._running = {}
         self._unanswered = deque()
         self._last_response_at = now()
@@ -113,31 +113,32 @@
         """Record that `call` is sent to the backend server."""
         self._running[call.origin, call.id] = PendingCall.of(call)
 
-    def finish(self, call, left):
-        """Record that the owner is done with `call`, with the `BackendResult` `left`.
+    def finish(self, call, result):
+        """Record that the owner no longer waits for `call`, and its `BackendResult`.
 
         Notes
         -----
-        A call is cancelled when its caller disconnects or another attempt has won a
-        hedge.  The server may go on with it and crash, so an unanswered call is
-        kept as a possible cause; otherwise only other calls would be blamed.
+        The owner cancels a call when its caller disconnects, or when another attempt
+        of a hedged call has answered.  The server may go on with it and crash, so an
+        unanswered call is kept as a possible cause; otherwise only other calls would
+        be blamed.
         """
         pending = self._running.pop((call.origin, call.id), None)
-        if left == BackendResult.ANSWERED:
+        if result == BackendResult.ANSWERED:
             self.record_response()
         elif (
-            left == BackendResult.UNANSWERED
+            result == BackendResult.UNANSWERED
             and pending
             and len(self._unanswered) < 2 * MAX_UNANSWERED
         ):
             self._unanswered.append(pending)
 
     def record_response(self):
-        """Record a response of the server, which rules out calls past their deadline.
+        """Record a response of the server, and drop unanswered calls past their deadline.
 
         Notes
         -----
-        A call whose deadline has passed when the server responds did not crash it.
+        The server is alive after those deadlines, so these calls did not crash it.
         """
         self._last_response_at = now()
         self._crash_recorded = False
@@ -149,13 +150,13 @@
 
     async def lost(self, call):
         """Return the `ServerCrash` in which `call` was lost, or ``None`` if the server is alive."""
-        if not self._includes(call):
+        if not self._in_last_crash(call):
             if self._probe_task is None:
                 self._probe_task = asyncio.create_task(self._probe())
             await asyncio.shield(self._probe_task)
-        return self._last_crash if self._includes(call) else None
+        return self._last_crash if self._in_last_crash(call) else None
 
-    def _includes(self, call):
+    def _in_last_crash(self, call):
         return (
             self._last_crash is not None
             and (call.origin, call.id) in self._last_crash.pending_calls
@@ -166,24 +167,23 @@
             listens = await self._client.listens(deadline_after(PROBE_TIMEOUT_SECONDS))
         finally:
             self._probe_task = None
+        # ``None`` means that the probe neither connected nor was refused.
         if listens is False and not self._is_leaving:
             self._record_crash()
 
     @property
     def _is_leaving(self):
-        return self._standing.state in (ServerState.DRAINING, ServerState.STOPPING)
+        return self._status.state in (ServerState.DRAINING, ServerState.STOPPING)
 
     def on_server_restart(self):
-        """Handle a listed restart of the server: calls of the previous run ended with it."""
+        """Handle a listed restart of the server, which ended all calls of the previous run."""
         if self._is_leaving:
             self._unanswered.clear()
         self._record_crash()
         self._crash_recorded = False
 
     def _crash_number(self, pending):
-        name = (
-            f"{self._standing.instance}@{self._standing.born_ms} {pending.origin} {pending.number}"
-        )
+        name = f"{self._status.instance}@{self._status.born_ms} {pending.origin} {pending.number}"
         return wall_microseconds() << HASH_BITS | hash_number(name) >> (64 - HASH_BITS)
 
     def _record_crash(self):
@@ -199,12 +199,12 @@
         if not pending_calls or self._crash_recorded:
             # Calls sent to the address after the crash may reach the restarted server
             # before the restart is listed.  They must not count as a second crash, or
-            # a request that was running at two crashes would be charged with three.
+            # three crashes would count against a request that was running at two.
             return
         self._crash_recorded = True
         by_number = {(pending.origin, pending.number): pending for pending in pending_calls}
         self._last_crash = ServerCrash(
-            self._crash_number(pending_calls[0]), self._standing.instance, by_number
+            self._crash_number(pending_calls[0]), self._status.instance, by_number
         )
         for listener in self._listeners:
             listener(self._last_crash)
--- a/caperstack/quarantine/tests/test_crash.py
+++ b/caperstack/quarantine/tests/test_crash.py
@@ -19,19 +19,20 @@
 
     def setUp(self):
         self.listening = False
-        self.asked = 0
-        self.standing = SimpleNamespace(state=ServerState.WARM, instance="i-1", born_ms=0)
-        self.detector = CrashDetector(self, self.standing)
+        self.probes = 0
+        self.status = SimpleNamespace(state=ServerState.WARM, instance="i-1", born_ms=0)
+        self.detector = CrashDetector(self, self.status)
         self.crashes = []
         self.detector.listen(self.crashes.append)
 
     async def listens(self, _deadline):
-        self.asked += 1
+        self.probes += 1
         return self.listening
 
     def crashed_calls(self):
         return [
-            sorted(pending.number for pending in end.pending_calls.values()) for end in self.crashes
+            sorted(pending.number for pending in crash.pending_calls.values())
+            for crash in self.crashes
         ]
 
     async def test_refused_connection_is_a_crash_with_all_running_calls(self):
@@ -40,9 +41,9 @@
         first, second = call(1), call(2)
         self.detector.begin(first)
         self.detector.begin(second)
-        end = await self.detector.lost(first)
-        self.assertEqual((await self.detector.lost(second)).number, end.number)
-        self.assertEqual((self.crashed_calls(), self.asked), ([[1, 2]], 1))
+        crash = await self.detector.lost(first)
+        self.assertEqual((await self.detector.lost(second)).number, crash.number)
+        self.assertEqual((self.crashed_calls(), self.probes), ([[1, 2]], 1))
 
     async def test_lost_answer_of_a_listening_server_is_no_crash(self):
         self.listening = True
@@ -71,7 +72,7 @@
         self.assertEqual(self.crashed_calls(), [[1, 3]])
 
     async def test_exit_of_a_leaving_server_is_no_crash(self):
-        self.standing.state = ServerState.DRAINING
+        self.status.state = ServerState.DRAINING
         lost = call(1)
         self.detector.begin(lost)
         self.assertIsNone(await self.detector.lost(lost))
