--- a/caperstack/admission/arrivals.py
+++ b/caperstack/admission/arrivals.py
@@ -8,15 +8,15 @@
 #: Calls with less time left than this share of their route's service time are refused. With a
 #: spread of work times of 0.3, fewer than one in a hundred would end in time, and they would
 #: occupy slots. Callers retry with as little as a tenth of their time left.
-SHORTEST_SHARE = 0.5
+MIN_TIME_LEFT_SHARE = 0.5
 
 #: Advised retry delay for calls refused by a failing server or a slowed host, in seconds: a
 #: third of a slow phase.
-ELSEWHERE_SECONDS = 0.1
+REDIRECT_RETRY_SECONDS = 0.1
 
 #: Advised retry delay after a pause of this node, in seconds; the pause is over by the time
 #: it is detected.
-PAUSED_SECONDS = 0.05
+PAUSE_RETRY_SECONDS = 0.05
 
 
 class ArrivalChecks:
@@ -66,11 +66,11 @@
     def _redirect(self, service):
         """Return the refusal of a call that should try another server, or ``None``."""
         if not self._breaker.admits(lambda: self._others_failing(service)):
-            return NotRun("backend server fails", ELSEWHERE_SECONDS)
+            return NotRun("backend server fails", REDIRECT_RETRY_SECONDS)
         if self._slowdown.slowed:
-            return NotRun("host is slowed at this moment", ELSEWHERE_SECONDS)
+            return NotRun("host is slowed at this moment", REDIRECT_RETRY_SECONDS)
         if self._slowdown.awaiting_reading:
-            return NotRun("pace of the host is not known yet", ELSEWHERE_SECONDS)
+            return NotRun("pace of the host is not known yet", REDIRECT_RETRY_SECONDS)
         return None
 
     def _others_failing(self, service):
@@ -90,10 +90,10 @@
     def too_late(self, call):
         """Return the refusal of a call that is too late to dispatch, or ``None``."""
         if self._pauses.recently_paused():
-            return NotRun("node was paused", PAUSED_SECONDS)
+            return NotRun("node was paused", PAUSE_RETRY_SECONDS)
         if now() >= call.deadline:
             return NotRun("deadline passed before dispatch", 0.0)
         service_seconds = self._times.route_seconds(call.route) * self._slowdown.baseline
-        if time_left(call.deadline) < SHORTEST_SHARE * service_seconds:
+        if time_left(call.deadline) < MIN_TIME_LEFT_SHARE * service_seconds:
             return NotRun("too little time left to run", 0.0)
         return None
