--- a/caperstack/admission/arrivals.py
+++ b/caperstack/admission/arrivals.py
@@ -5,13 +5,14 @@
 
 __all__ = ["ArrivalChecks"]
 
-#: Calls with less time left than this share of their route's service time are refused. With a
-#: spread of work times of 0.3, fewer than one in a hundred would end in time, and they would
-#: occupy slots. Callers retry with as little as a tenth of their time left.
+#: Calls with less time left than this share of their route's service time are refused. They
+#: would occupy slots, and with a spread of service times of 0.3 fewer than one in a hundred
+#: would end in time. Such calls are common, since callers retry with as little as a tenth of
+#: their time left.
 MIN_TIME_LEFT_SHARE = 0.5
 
-#: Advised retry delay for calls refused by a failing server or a slowed host, in seconds: a
-#: third of a slow phase.
+#: Advised retry delay, in seconds, for calls refused because the backend server fails or its
+#: host is slowed or not yet measured: a third of a slow phase of 300 ms.
 REDIRECT_RETRY_SECONDS = 0.1
 
 #: Advised retry delay after a pause of this node, in seconds; the pause is over by the time
@@ -25,15 +26,15 @@
     Parameters
     ----------
     status : caperstack.admission.status.ServerStatus
-        Whether the backend server accepts calls, and its service.
+        Provides whether the backend server accepts calls, and its service.
     breaker : caperstack.admission.limit.CircuitBreaker
         Circuit breaker of the backend server.
     times : caperstack.admission.limit.ServiceTimes
         Service times of the backend server.
     slowdown : caperstack.admission.slowdown.HostSlowdown
-        Current slowdown of the host.
+        Slowdown of the host.
     pauses : object
-        ``suspect()`` returns whether this process may have been paused.
+        ``recently_paused()`` returns whether this process has just resumed after a pause.
     members : caperstack.membership.members.Members
         Provides the failure shares of the other servers of the service.
     suspects : caperstack.quarantine.suspects.Suspects
@@ -50,7 +51,12 @@
         self._suspects = suspects
 
     def refusal(self, call):
-        """Return the refusal of an arriving call, or ``None`` if it may compete for a slot."""
+        """Return the refusal of an arriving call, or ``None`` if it may compete for a slot.
+
+        Notes
+        -----
+        A call that has no other server left to try is not redirected.
+        """
         refusal = self.blocked(call) or self.too_late(call)
         return refusal or (None if call.last else self._redirect(call.service))
 
@@ -59,7 +65,7 @@
         if self._status.closed:
             return NotRun(self._status.closed_reason, 0.0)
         if self._status.service not in ("", call.service):
-            # The address was reassigned, and the entry's server list is older than ours.
+            # The address was reassigned, and the entry's server list is older than this node's.
             return NotRun("backend server is of another service", 0.0)
         return self._suspects.refusal(call)
 
@@ -79,7 +85,8 @@
         Notes
         -----
         In a large service this node has load reports from a few servers only.  The others
-        are left out; counted as healthy, they would make the circuit breaker open.
+        are left out: if they counted as healthy, the circuit breaker would open although all
+        servers fail alike.
         """
         here = self._members.here.host
         members = self._members.of_service(service)
@@ -88,7 +95,12 @@
         return shares[len(shares) // 2] if shares else 0.0
 
     def too_late(self, call):
-        """Return the refusal of a call that is too late to dispatch, or ``None``."""
+        """Return the refusal of a call that is too late to dispatch, or ``None``.
+
+        Notes
+        -----
+        After a pause of this node, every call is refused for a moment.
+        """
         if self._pauses.recently_paused():
             return NotRun("node was paused", PAUSE_RETRY_SECONDS)
         if now() >= call.deadline:
--- a/caperstack/admission/gate.py
+++ b/caperstack/admission/gate.py
@@ -26,8 +26,8 @@
 #: Calls that take at most this share of the slot-weighted median service time are short.
 SHORT_CALL_SHARE = 0.5
 
-#: Cap on the ratio of a service time to its route's baseline. Larger ratios come from a
-#: noisy neighbour that began between two readings of the host's slowdown.
+#: Cap on the ratio of a service time to its route's baseline. Larger ratios occur if a slow
+#: phase of the host began between two readings of its slowdown.
 MAX_TIME_RATIO = 3.0
 
 #: Queued calls per slot. This bounds memory only; in practice the queue stays shorter,
@@ -76,7 +76,13 @@
 
     @property
     def limit(self):
-        """Number of calls that may hold a slot concurrently now."""
+        """Number of calls that may hold a slot concurrently now.
+
+        Notes
+        -----
+        While the rate limit for a cold server lets no further call start, this is the number
+        of running calls.
+        """
         if self._cold.wait() > 0:
             return max(1, min(self._running, self._limit.limit))
         return self._limit.limit
@@ -141,10 +147,10 @@
         Notes
         -----
         A noisy neighbour takes the host's processor for some hundred milliseconds at a
-        time, repeatedly.  Work that starts in such a slow phase takes several times as
-        long to its end, even after the phase is over, and occupies its slot meanwhile.
-        Waiting costs the remainder of the phase, so calls whose extra service time is
-        shorter than that start at once.
+        time, repeatedly.  A call that starts in such a slow phase takes several times as
+        long, even after the phase is over, and occupies its slot meanwhile.  Waiting costs
+        the remainder of the phase, so a call starts at once if the slow phase would lengthen
+        it by less than that.
         """
         if self._slowdown.awaiting_reading:
             return True
@@ -168,7 +174,7 @@
         if self._queue.full and not self._queue.evict_for(call, service_seconds):
             return NotRun("queue is full", wait)
         waiter = self._queue.add(call, service_seconds)
-        # Longer calls ahead may be deferred while a slot is free for a short one.
+        # If all calls ahead are deferred, a slot may be free in which a short call can start.
         self.start_waiting()
         on_wait(wait)
         try:
@@ -191,18 +197,18 @@
 
         Notes
         -----
-        In an overload that lasts for seconds, a call that can no longer meet its objective
-        is refused at once, so that its caller retries or gives up.  Late calls in the queue
-        would occupy slots needed by calls that can still be in time, and nested calls would
-        wait while their parent holds a slot of another service.
+        A call that gets no slot and can no longer meet its objective is refused at once, so
+        that its caller retries or gives up.  If such calls waited in an overload that lasts
+        for seconds, they would occupy slots needed by calls that can still be in time, and
+        nested calls would wait while their parent holds a slot of another service.
 
         Short calls may wait for one median service time longer, since they are mostly nested:
         the parent has run for longer and would fail with them.
         """
         in_time_until = (call.objective_at or call.deadline) - service_seconds
-        turn = self._slot_holding_seconds if service_seconds <= self._queue.short_seconds else 0.0
+        extra = self._slot_holding_seconds if service_seconds <= self._queue.short_seconds else 0.0
         return min(
-            call.queue_until, call.deadline - service_seconds, max(in_time_until, now()) + turn
+            call.queue_until, call.deadline - service_seconds, max(in_time_until, now()) + extra
         )
 
     def _with_jitter(self, wait):
@@ -213,11 +219,11 @@
 
         Notes
         -----
-        In an overload of a second or two, a call that cannot meet its objective here is late
-        whenever it is retried, and its answer is worth the same until the deadline.  Callers
+        A call that cannot meet its objective here is late whenever it is retried, and its
+        answer is worth the same until the deadline.  In an overload of a second or two, callers
         that retry at once are refused repeatedly until they give up, while a later retry may
         find a free slot.  Short calls are exempt from the least delay, since a parent call
-        waits for them.
+        mostly waits for them.
         """
         if service_seconds > self._queue.short_seconds:
             wait = max(wait, RETRY_DELAY_SHARE * (time_left(call.deadline) - service_seconds))
@@ -231,7 +237,7 @@
 
     def _cancel_wait(self, waiter):
         # The slot may have been granted in the same iteration of the event loop in which
-        # the wait ended; it would leak if it were not released here.
+        # the wait timed out or was cancelled; it would leak if it were not released here.
         if waiter.admitted.done() and not waiter.admitted.cancelled():
             if waiter.admitted.result() == "":
                 self.release()
@@ -239,12 +245,12 @@
             waiter.admitted.cancel()
 
     def _expected_wait(self, call, service_seconds):
-        # Slots that are free while calls are deferred stay free until the slow phase ends,
-        # and all calls that arrive meanwhile share them.
+        # While the host is in a slow phase, calls are deferred and slots stay free. All calls
+        # that arrive meanwhile start in them once the phase ends.
         free = self._limit.limit - self._running
         before = self._queue.ahead_of(call, service_seconds)
         ahead = max(0, before + 1 - free)
-        # A call that waits for the first reading has to wait much less than a slow phase.
+        # The first reading of the slowdown arrives much sooner than a slow phase ends.
         slow_phase = free > 0 and not self._slowdown.awaiting_reading
         wait = SLOW_PHASE_LEFT_SECONDS if slow_phase else 0.0
         wait += ahead * self._times.recent * self._slowdown.baseline / self._limit.limit
@@ -267,6 +273,7 @@
             if call is None:
                 return
             self._take_slot()
+            # The best concurrency is learnt only under overload, while further calls wait.
             if len(self._queue):
                 call.running_at_start = self._running
                 self._knee.record_start()
--- a/caperstack/admission/queue.py
+++ b/caperstack/admission/queue.py
@@ -48,14 +48,14 @@
 
         Notes
         -----
-        In an overload of some seconds, a first-come-first-served queue as long as the
-        objective makes every call late for as long as the overload lasts.  Calls that can
+        In an overload of some seconds, a first-come-first-served queue with waits as long as
+        the objective makes every call late for as long as the overload lasts.  Calls that can
         no longer meet their objective therefore rank behind all that still can.
 
-        Short calls are mostly nested in a longer call that runs elsewhere and waits for
-        them, so they are exempt.  Otherwise a call of 55 ms that is late after a tenth of a
-        second is refused behind work of 550 ms, and the booking that has run for a second
-        fails with it (5 of 27 bookings in a recovery).
+        Short calls are exempt, since they are mostly nested in a longer call that runs
+        elsewhere and waits for them.  Otherwise a call of 55 ms, which is late after a tenth
+        of a second, would be ranked behind calls of 550 ms and refused, and the booking
+        that waits for it and has run for a second would fail (5 of 27 bookings in a recovery).
         """
         late = moment + self.service_seconds > self.due_at and self.service_seconds > short_seconds
         return (late, -self.call.criticality, self.due_at, self.sequence)
@@ -115,12 +115,12 @@
         return [waiter for waiter in self._waiters if not waiter.admitted.done()]
 
     def admit_next(self, defers=None):
-        """Admit the first waiting call and return it, or ``None`` if there is none.
+        """Admit the first waiting call that is not deferred; return it, or ``None``.
 
         Parameters
         ----------
         defers : callable, optional
-            ``defers(call)`` returns whether to skip a call, which then waits on.
+            ``defers(call)`` returns whether to skip a call, which then continues to wait.
         """
         moment = now()
         ready = [w for w in self._pending() if defers is None or not defers(w.call)]
@@ -131,14 +131,17 @@
         return first.call
 
     def evict_for(self, call, service_seconds=0.0):
-        """Refuse the last waiting call if it is late and `call` is not, or if it is less critical.
-
-        The due time and the order of arrival make no difference.
+        """Refuse the last waiting call if `call` is more urgent.
 
         Returns
         -------
         bool
-            Whether there is room now.
+            Whether a call was refused, so that there is room for `call`.
+
+        Notes
+        -----
+        A call in time is more urgent than a late one.  If both are in time or both late, the
+        more critical one is; the due time and the order of arrival make no difference.
         """
         moment = now()
         last = max(
