--- a/caperstack/admission/cold.py
+++ b/caperstack/admission/cold.py
@@ -10,8 +10,8 @@
 #: calls that are sent a second apart may arrive closer together.
 WINDOW_SECONDS = 1.05
 
-#: Least time between the end of the previous process and the first statement of this one, in
-#: seconds: the interpreter takes that long to start.
+#: Least time between the end of the node's previous process and the first statement of this
+#: one, in seconds: the interpreter takes that long to start.
 RESTART_SECONDS = 0.1
 
 #: Starts subtracted from the number that a cold server sustains in a second.
@@ -30,15 +30,16 @@
 
     Notes
     -----
-    A backend server that is cold, since it has just started or reports it at any later
-    time, crashes if it gets many more calls per second than it sustains.  Starts are
-    always counted, so that the limit holds from the moment at which the server turns cold.
+    A backend server is cold after its start, and may turn cold again at any later time.  A
+    cold server crashes if it gets many more calls per second than it sustains.  Starts are
+    also counted while the server is warm, so that the limit holds as soon as it turns cold.
 
     A server counts as cold until it reports that it is warm, even after the announced cold
     time has passed, since it may have turned cold again.  A warm server counts as cold
-    again after `max_starts` starts without a report.  Calls that a previous process may have
-    sent before this one began count as a full window of starts, unless the server turned
-    cold only after that.
+    again after `max_starts` starts without a report.
+
+    The node's previous process may have sent calls that this one does not know of.  They count
+    as a full window of starts, unless the server turned cold after that process had ended.
     """
 
     def __init__(self):
@@ -62,8 +63,8 @@
 
         Notes
         -----
-        That is so once a cold server may be warm, and once a warm one has got half
-        of `max_starts` calls without a report.
+        A report is due when the announced cold time of a cold server has passed, and when half
+        of `max_starts` calls have started at a warm one without a report.
         """
         if not self.max_starts:
             return False
@@ -74,7 +75,15 @@
         )
 
     def resize(self, per_second, cold_seconds=0.0):
-        """Set the starts per second that a cold server sustains (0 for no bound)."""
+        """Set the limit.
+
+        Parameters
+        ----------
+        per_second : float
+            Calls per second that a cold server sustains; 0 for no bound.
+        cold_seconds : float, optional
+            Time for which a server is cold after its start, in seconds; 0 if unknown.
+        """
         self.max_starts = max(1, int(per_second) - RESERVED_STARTS) if per_second > 0 else 0
         self.cold_seconds = cold_seconds
 
@@ -99,7 +108,7 @@
         """Record the start of a call."""
         self._unreported += 1
         self._starts.append(now())
-        # Only the last `max_starts` starts can bound a later one.
+        # Only the last `max_starts` starts can delay a later one.
         while len(self._starts) > max(1, self.max_starts):
             self._starts.popleft()
 
@@ -117,9 +126,10 @@
         return start - moment
 
     def _starts_in_window(self, moment):
-        """Return the times of the starts in the current window, the oldest first."""
+        """Return the times of the starts in the window that ends at `moment`, oldest first."""
         recent = [start for start in self._starts if start > moment - WINDOW_SECONDS]
         if moment < self._unknown_until:
+            # The previous process may have started the remaining calls just before it ended.
             before = self._unknown_until - WINDOW_SECONDS
             return [before] * (self.max_starts - len(recent)) + recent
         return recent
--- a/caperstack/admission/limit.py
+++ b/caperstack/admission/limit.py
@@ -16,13 +16,13 @@
 #: some 100 calls of 200 ms, or 400 of 50 ms.
 MAX_SLOT_SECONDS = 20.0
 
-#: Without calls, time constants in seconds with which the recent service time decays to the
-#: baseline, and the baseline to zero.
+#: Time constants, in seconds, of the decay of the recent service time without calls: of its
+#: excess over the baseline, and of the remainder, which decays to zero.
 RECENT_DECAY_SECONDS = 0.2
 IDLE_DECAY_SECONDS = 10.0
 
-#: A server whose last calls took more than this many times the baseline is probed first,
-#: with at most `PROBE_CALLS` concurrent calls.
+#: After a time without calls, a server whose last calls took more than this many times the
+#: baseline is probed first, with at most `PROBE_CALLS` concurrent calls.
 PROBE_THRESHOLD = 2.0
 PROBE_CALLS = 2
 
@@ -46,16 +46,16 @@
 #: baseline by chance, rarely four times.
 SLOW_FACTOR = 4.0
 
-#: Lowest limit as a share of the slots, so that a backend server that has recovered gets
-#: enough calls to show it.
+#: Lower bound of the adaptive limit as a share of its upper bound, so that a backend server
+#: that has recovered gets enough calls to show it.
 MIN_LIMIT_SHARE = 0.5
 
 #: Least interval between two adjustments of the limit, in seconds.
 ADJUST_SECONDS = 0.1
 
 #: The circuit breaker opens at this failure share if it also exceeds the share at the other
-#: servers of the service by the margin. While open it lets one probe through per interval,
-#: in seconds.
+#: servers of the service by the margin. While open it lets one call through as a probe per
+#: `PROBE_SECONDS`.
 OPEN_FAILURE_SHARE = 0.5
 OPEN_MARGIN = 0.25
 PROBE_SECONDS = 0.1
@@ -95,11 +95,12 @@
 
     @property
     def baseline(self):
-        """Normal service time in seconds; it falls at once and rises slowly.
+        """Normal service time in seconds.
 
         Notes
         -----
-        A plain average would soon take a lasting slowdown for normal.
+        It follows the medium-term average down at once and up slowly.  A plain average would
+        soon take a lasting slowdown for normal.
         """
         return self._baseline
 
@@ -133,12 +134,13 @@
         return self._recent > PROBE_THRESHOLD * self._baseline
 
     def restart(self):
-        """Discard the recent slowness, which says nothing of a restarted backend server."""
+        """Reset the recent average to the baseline, since the backend server has restarted."""
         self._recent = self._baseline if self.known else None
 
     def _decayed_average(self):
         # A slow server gets no calls, so nothing would show its recovery and it would stay
-        # idle for good.  The average therefore decays, until a call or two probe the server.
+        # idle permanently. The average therefore decays until entries send calls again, of
+        # which `PROBE_CALLS` at a time probe the server.
         if self._recent is None:
             return self._baseline
         idle = now() - self._last_end
@@ -167,10 +169,10 @@
 
         Notes
         -----
-        This is the typical service time of the call that occupies a slot at a random moment.
-        The median is over slot time rather than calls, since short calls may be the majority
-        while long ones occupy most slots.  With a mean, a few calls of several seconds would
-        make all others count as short.
+        This is the typical service time of a call that occupies a slot at a random moment.
+        The median is weighted by slot time, since short calls may be the majority while long
+        ones occupy most slots.  With a mean, a few calls of several seconds would make all
+        others count as short.
         """
         times = sorted((self._routes[r].value, s) for r, s in self._slot_seconds.items())
         half = sum(self._slot_seconds.values()) / 2
@@ -202,7 +204,8 @@
         Returns
         -------
         float
-            Ratio of its time to the baseline of its route; 0 if that is unknown.
+            Ratio of its time to the average of its route so far; 0 if that has too few samples,
+            or if the call does not count.
         """
         start, slowdown, route = self._started.pop(key)
         elapsed = (now() - start) / slowdown
@@ -240,13 +243,14 @@
     -----
     A server that fails fast has free slots and the shortest service time, and so attracts
     more and more calls.  While most of its calls fail, the owner refuses further ones,
-    which proves that they did not run and costs no retry, and lets a few through as probes.
-    A call that has no other server left is admitted all the same: when all servers fail,
-    their own errors tell the caller more than a refusal.
-
-    The breaker stays closed where the other servers fail about as often.  If nested calls
-    to another service fail, all servers of this one answer errors; their breakers would
-    open one after the other on healthy servers, which would be idle while the rest are full.
+    except for a few as probes.  A refusal proves that the call did not run, and costs no
+    retry.  A call that has no other server left is admitted all the same: when all servers
+    fail, their own errors tell the caller more than a refusal.
+
+    The breaker stays closed while the other servers fail about as often.  If nested calls
+    to another service fail, all servers of this service answer with errors.  Their breakers
+    would open one after the other although the servers are healthy, and these servers would
+    be idle while the others are full.
     """
 
     def __init__(self):
@@ -260,8 +264,8 @@
 
         Notes
         -----
-        A server can show its recovery only by calls, and gets none while entries hear that
-        it fails more often than others.
+        A server can show its recovery only by answering calls, and gets none while it is
+        reported to fail more often than others.
         """
         faded = max(0.0, 1.0 - (now() - self._added_at) / FAILURE_DECAY_SECONDS)
         return int(self._share * faded * 100)
@@ -294,11 +298,18 @@
 
 
 class AdaptiveLimit:
-    """Adaptive concurrency limit, at most `slots`.
+    """Adaptive concurrency limit of a backend server.
+
+    Parameters
+    ----------
+    slots : int
+        Upper bound and initial value of the limit.
+    times : ServiceTimes
+        Service times of the backend server.
 
     Notes
     -----
-    Capacity that a noisy neighbour takes shows in no report, only in the service time.
+    Capacity that a noisy neighbour takes is not reported; it shows only in the service time.
     While the recent service time is far above the baseline, each step lowers the limit by a
     tenth; otherwise each step raises it by one.
     """
--- a/caperstack/admission/slowdown.py
+++ b/caperstack/admission/slowdown.py
@@ -36,17 +36,17 @@
     Notes
     -----
     A server that has just started is twice as slow for seconds, and a noisy neighbour makes
-    it eight times as slow for a moment.  Compared with a warm server it would count as
-    slowed throughout, and work would start at eight times its cost as readily as at twice.
-    It is therefore compared with its own recent baseline.
+    it eight times as slow for a moment.  Compared with a warm server, it would count as
+    slowed throughout, and calls would start at eight times their nominal service time as
+    readily as at twice.  Readings are therefore compared with the host's recent baseline.
 
     If the first reading falls into a slow phase, there is no lower one to compare with.
-    After a stop of all nodes, one node in four would fill its slots with work at eight times
-    the cost, and the calls would reach their deadlines.  `MAX_INITIAL_BASELINE` prevents that.
+    After a stop of all nodes, one node in four would fill its slots with calls that take
+    eight times as long and reach their deadlines.  `MAX_INITIAL_BASELINE` prevents that.
     """
 
     def __init__(self):
-        # Recent readings (time, slowdown) that no later reading is equal to or below.
+        # Recent readings (time, slowdown) that are lower than all later ones, the oldest first.
         self._minima = deque()
         self._read_at = 0.0
         self._observed_since = now()
@@ -55,18 +55,19 @@
 
     @property
     def awaiting_reading(self):
-        """Whether the first reading is still expected, shortly after polling began.
+        """Whether polling began a short time ago and has given no reading yet.
 
         Notes
         -----
-        Calls wait for it.  If calls arrive as soon as an owner starts and its host is in a
-        slow phase, a booking would run for 2.5 s and be cut off at its deadline.
+        Calls wait for the first reading.  If they started without one as soon as the owner
+        runs, and its host was in a slow phase, a booking would run for 2.5 s and be cut off
+        at its deadline.
         """
         return not self._minima and now() < self._await_until
 
     @property
     def baseline(self):
-        """Lowest recent slowdown."""
+        """Lowest recent slowdown, bounded at first by `MAX_INITIAL_BASELINE`."""
         self._drop_old()
         lowest = self._minima[0][1] if self._minima else 1.0
         long_observed = now() - self._observed_since >= BASELINE_SECONDS
@@ -88,7 +89,7 @@
         return now() - self._read_at if self._minima else 0.0
 
     def expect_reading(self):
-        """Expect the first reading, since polling has begun."""
+        """Record that polling begins, so that calls wait for the first reading."""
         self._await_until = now() + FIRST_READING_SECONDS
 
     def record_reading(self, slowdown):
@@ -108,7 +109,7 @@
         self._minima.clear()
 
     def _drop_old(self):
-        # The last reading stays, whatever its age, since nothing later is known.
+        # The last reading is kept whatever its age, since there is no later one.
         oldest = now() - BASELINE_SECONDS
         while len(self._minima) > 1 and self._minima[0][0] < oldest:
             self._minima.popleft()
