--- a/caperstack/admission/execution.py
+++ b/caperstack/admission/execution.py
@@ -1,4 +1,4 @@
-"""Execution of calls at the backend server, with samples of their times and failures."""
+"""Execution of calls at the backend server, with records of their times and failures."""
 
 from caperstack.calls.model import NotRun, Unknown
 from caperstack.clock import now, time_left
@@ -18,17 +18,17 @@
     client : object
         With ``async fetch(call, instance)``.
     gate : caperstack.admission.gate.SlotGate
-        Receives the time ratio of each call, to learn the best concurrency.
+        Receives the time ratio of each call, from which it learns the best concurrency.
     times : caperstack.admission.limit.ServiceTimes
         Receives the start and the service time of each call.
     slowdown : caperstack.admission.slowdown.HostSlowdown
         Provides the slowdown of the host when a call begins.
     breaker : caperstack.admission.limit.CircuitBreaker
-        Receives the failures.
+        Receives whether each call failed.
     status : caperstack.admission.status.ServerStatus
-        Provides the instance to which calls are addressed; receives its signs of life.
+        Provides the instance to which calls are addressed; is notified of its answers.
     watch : caperstack.quarantine.crash.CrashDetector
-        Tracks the running calls, and receives lost connections.
+        Tracks the running calls, and decides whether a call was lost in a crash.
     """
 
     def __init__(self, client, gate, times, slowdown, breaker, status, watch):
@@ -63,17 +63,17 @@
             limit=self._gate.limit,
             pace=round(self._slowdown.value, 2),
         )
-        counts = False
-        left = BackendResult.UNANSWERED
+        is_sample = False
+        result = BackendResult.UNANSWERED
         begun = now()
         self._watch.begin(call)
         try:
             answer = await self._client.fetch(call, self._status.instance)
             if isinstance(answer, NotRun):
-                left = BackendResult.NOT_RUN
+                result = BackendResult.NOT_RUN
                 return answer
-            left = BackendResult.ANSWERED
-            counts = answer.status < 500 or answer.status == GATEWAY_TIMEOUT
+            result = BackendResult.ANSWERED
+            is_sample = answer.status < 500 or answer.status == GATEWAY_TIMEOUT
             self._metrics.time("backend_seconds", now() - begun, call.service)
             self._status.note_answer()
             self._breaker.add(answer.status >= 500)
@@ -83,21 +83,22 @@
         except BackendError as error:
             # A call that reaches its deadline counts as a sample.  Otherwise a server so slow
             # that no call ends in time would yield no samples, look fast and attract calls.
-            counts = time_left(call.deadline) <= 0
+            is_sample = time_left(call.deadline) <= 0
             self._breaker.add(True)
-            left = BackendResult.UNANSWERED if error.sent else BackendResult.NOT_RUN
-            end = await self._watch.lost(call) if error.sent and not counts else None
-            return self._failure(call, error, end)
+            result = BackendResult.UNANSWERED if error.sent else BackendResult.NOT_RUN
+            crash = await self._watch.lost(call) if error.sent and not is_sample else None
+            return self._failure(call, error, crash)
         finally:
-            self._watch.finish(call, left)
-            ratio = self._times.end((call.origin, call.id), counts)
+            self._watch.finish(call, result)
+            ratio = self._times.end((call.origin, call.id), is_sample)
             if ratio and self._gate.record_time(call, ratio):
                 self._events.state("calls at once", "other", self._gate.limit)
 
-    def _failure(self, call, error, end):
+    def _failure(self, call, error, crash):
+        """Return the outcome of a call that got no answer and may have been lost in `crash`."""
         self._metrics.backend_failed(error.message)
         if not error.sent:
             return NotRun(f"backend server unreachable: {error.message}", 0.2)
         late = time_left(call.deadline) <= 0.002
-        blamed = end is not None and self._suspects.implicates(end.number, call.fingerprint)
-        return Unknown(error.message, 504 if late else 502, end.number if blamed else 0)
+        blamed = crash is not None and self._suspects.implicates(crash.number, call.fingerprint)
+        return Unknown(error.message, 504 if late else 502, crash.number if blamed else 0)
--- a/caperstack/admission/knee.py
+++ b/caperstack/admission/knee.py
@@ -5,16 +5,16 @@
 
 __all__ = ["Knee"]
 
-#: While calls wait, one start in this many is a trial one step below the limit, and one a
-#: trial one step above it. Trials above become rarer, up to the maximum interval, once they
-#: are known to slow the server. With an interval of 32, trials beyond a knee at which the
-#: server slows by a factor of 1.7 cost 2 % of the slots.
+#: While calls wait, one start in this many is a trial one step below the limit, and another
+#: one a trial one step above it. Trials above become rarer, up to the maximum interval, once
+#: they are known to lower the throughput. With an interval of 32, trials beyond a knee at which
+#: the server slows by a factor of 1.7 cost 2 % of the slots.
 TRIAL_INTERVAL = 32
 MAX_TRIAL_INTERVAL = 1024
 
-#: Samples needed to compare with a trial below or above the limit, and the standard errors
-#: that a difference must exceed. Times of one route spread by 0.3 to 0.5: a slowdown by a
-#: factor of 1.7 shows after ten calls, its absence after some seventy.
+#: Samples needed at the limit and at a trial below or above it to compare them, and the number
+#: of standard errors that the difference must exceed. Times of one route spread by 0.3 to 0.5:
+#: a slowdown by a factor of 1.7 shows after ten calls, its absence after some seventy.
 MIN_SAMPLES_BELOW = 8
 MIN_SAMPLES_ABOVE = 24
 MIN_STANDARD_ERRORS = 3.0
@@ -35,7 +35,8 @@
 
     Notes
     -----
-    A ratio is a call's service time divided by the baseline of its route.
+    A ratio is a call's service time divided by the baseline of its route.  `squares` is the
+    sum of squared deviations from the mean (Welford's algorithm).
     """
 
     count: int = 0
@@ -59,6 +60,8 @@
 class Knee:
     """Learn from service times the concurrency at which a server's throughput is highest.
 
+    This is the knee of the curve of throughput over concurrency.
+
     Parameters
     ----------
     slots : int
@@ -68,16 +71,16 @@
 
     Notes
     -----
-    This applies under overload, when calls wait.  Some servers slow down when they are
-    nearly full, others do not.  With too high a concurrency each call is slowed by more than
-    the last slot gains; with too low a one, slots stay empty.  Trial calls that start
-    one step above and below the limit, interleaved with the others, show on which
-    side of the optimum the limit is, whatever else slows the work meanwhile.
+    The limit is learnt only under overload, while calls wait.  Some servers slow down when
+    they are nearly full, others do not.  If the limit is too high, the last slot slows the
+    other calls by more than it gains; if it is too low, slots stay empty.  Trial calls that
+    start one step above and below the limit, interleaved with the others, show on which
+    side of the optimum the limit is, whatever else slows the calls meanwhile.
     """
 
     def __init__(self, slots, initial):
         self._slots = slots
-        # A share of the slots above one lets calls queue in the server itself.
+        # The initial limit exceeds the slots if calls may queue in the server itself.
         self._max_limit = max(slots, initial)
         self._limit = initial
         self._reset()
@@ -113,7 +116,10 @@
         self._starts += 1
 
     def record_time(self, concurrency, ratio):
-        """Record the time ratio of a call that started at the given concurrency."""
+        """Record the time ratio of a call that started at the given concurrency.
+
+        It is ignored unless the concurrency is the limit or one step from it.
+        """
         if abs(concurrency - self._limit) not in (0, self._step):
             return
         self._times.setdefault(concurrency, _RatioStatistics()).add(ratio)
@@ -132,6 +138,6 @@
             self._limit = other
             self._reset()
         elif other > self._limit and gain < -error:
-            # Known to be slower there, so trials above the limit become rarer.
+            # The throughput is lower above the limit, so trials there become rarer.
             self._upper_trial_interval = min(MAX_TRIAL_INTERVAL, 2 * self._upper_trial_interval)
             del self._times[other]
--- a/caperstack/admission/local.py
+++ b/caperstack/admission/local.py
@@ -1,10 +1,10 @@
-"""In-process route to the owner."""
+"""Calls from an entry to the owner in the same process."""
 
 __all__ = ["LocalOwner"]
 
 
 class LocalOwner:
-    """In-process route to the owner, for an entry whose own server gets the call.
+    """Counterpart of `caperstack.peers.link.Link` for the owner in the entry's own process.
 
     Parameters
     ----------
@@ -32,5 +32,5 @@
         """Do nothing, since there is no connection to open."""
 
     def freshen(self, estimate):
-        """Update `estimate` with the exact load, which is available at no cost."""
+        """Update `estimate` with the exact load, which is known in this process."""
         estimate.update_load(self._owner.load)
--- a/caperstack/admission/memory.py
+++ b/caperstack/admission/memory.py
@@ -1,4 +1,4 @@
-"""Records of calls at the owner, from which it reports their outcomes reliably."""
+"""Records of calls at the owner, from which it reports their outcomes to entries."""
 
 import asyncio
 from collections import OrderedDict
@@ -9,9 +9,9 @@
 
 __all__ = ["CallMemory", "Record"]
 
-#: Retention of ended or revoked calls beyond their deadline, in seconds, and greatest number
-#: of records, so that a late revocation gets the true outcome. An entry asks only until the
-#: deadline of its call.
+#: Retention of a call's record beyond its deadline, in seconds, so that a late revocation gets
+#: the true outcome, and greatest number of records. An entry asks only until the deadline of
+#: its call.
 MEMORY_SECONDS = 5.0
 MAX_RECORDS = 20_000
 
@@ -85,8 +85,9 @@
         -----
         An owner that is killed while a booking runs in its backend server has no records
         after its restart.  If it then answered `NotRun` for a booking it does not know, the
-        booking would run a second time elsewhere.  An owner therefore answers `NotRun`
-        only for calls that were sent since its records are complete.
+        booking would run a second time elsewhere.  For a call without a record, an owner
+        therefore answers `NotRun` only if the call was sent within the time for which its
+        records are complete.
         """
         record = self.find(origin, number)
         if record is None and not self.covers(sent_at):
@@ -110,7 +111,7 @@
         return sent_at > self._since + CLOCK_MARGIN_SECONDS
 
     def settle(self, call, record, outcome):
-        """Record the outcome of `call`, and keep its answer if it may be asked for."""
+        """Record the outcome of `call`, and keep its answer if its entry may ask for it."""
         if record.outcome.done():
             return
         record.task = None
--- a/caperstack/admission/owner.py
+++ b/caperstack/admission/owner.py
@@ -14,12 +14,12 @@
 
 __all__ = ["Owner"]
 
-#: Greatest age of the slowdown reading on which a call starts, in seconds; each answer brings
-#: a new one. This causes at most 50 queries per second, of the 60 that backend servers
-#: sustain.
+#: Greatest age, in seconds, of the slowdown reading with which a call starts; each answer of
+#: the backend server reports a new one. This causes at most 50 queries per second, of the 60
+#: that backend servers sustain.
 MAX_READING_AGE_SECONDS = 0.02
 
-#: Timeout for a call that holds a slot to receive its body, in seconds: 64 kB over a link of
+#: Timeout for fetching the body of a call that holds a slot, in seconds: 64 kB over a link of
 #: 1 Mbit/s.
 BODY_SECONDS = 0.5
 
@@ -28,7 +28,7 @@
     """Admit, queue, run or refuse calls for the one backend server beside this node.
 
     Every call to the backend server passes through its owner, which therefore knows the
-    calls in flight, the free slots and the service times exactly and at no cost.
+    calls in flight, the free slots and the service times exactly, without queries.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
         )
 
     async def stop(self):
-        """Refuse waiting calls; running ones have ended before."""
+        """Refuse waiting calls; running ones have already ended."""
         self._gate.refuse_all("node stops")
 
     async def run(self, call, queued=None):
@@ -80,12 +80,12 @@
         call : caperstack.calls.model.Call
             The call.
         queued : callable, optional
-            Called if the call has to wait, so that the entry is notified.
+            ``queued()`` is called if the call has to wait, to notify the entry.
 
         Notes
         -----
-        The outcome is recorded under the call's identifier.  A call that was revoked
-        before it arrived is refused, since the record of the revocation exists.
+        The outcome is recorded under the call's entry and number.  If a record exists when
+        the call arrives, the call was revoked before and is refused.
         """
         if self._memory.find(call.origin, call.id) is not None:
             return NotRun("revoked before it arrived", 0.0)
@@ -146,8 +146,8 @@
 
         Notes
         -----
-        Innocent requests that already ran during two crashes could otherwise run beside
-        the culprit once more; when the server crashes, all of them are charged with three crashes.
+        Otherwise harmless requests that already ran during two crashes could run beside the
+        one that causes them once more, and would be charged with the third crash as well.
         """
         if self._suspect_running:
             refusal = NotRun("another suspect is at work", self._times.baseline)
@@ -193,8 +193,8 @@
         Notes
         -----
         If a slow phase of the host begins between two readings, calls that start before the
-        next one take several times as long.  The server may also have turned cold or
-        warm.  A query from the node beside it is cheap.
+        next reading take several times as long.  The server may also have turned cold or
+        warm since the last one.  The query is cheap, since the node runs beside the server.
         """
         if not self._refresh:
             return False
--- a/caperstack/admission/status.py
+++ b/caperstack/admission/status.py
@@ -13,7 +13,8 @@
     ServerState.STOPPING: "node stops",
 }
 
-#: Time for which an answered call counts as a sign of life of the backend server, in seconds.
+#: Time for which the backend server counts as answering after it has answered a call, in
+#: seconds.
 ANSWERING_SECONDS = 2.0
 
 
@@ -25,7 +26,7 @@
     instance, service : str
         Instance name of the backend server and its service; empty if unknown.
     born_ms : int
-        Its start in milliseconds since 1970; 0 if unknown.
+        Start time of the backend server in milliseconds since 1970; 0 if unknown.
     node_leaves : bool
         Whether the node itself is stopping.
     """
@@ -95,11 +96,11 @@
 
         Notes
         -----
-        When a backend server ends and a new start of it takes over the address, calls would
-        continue to go there until the list names the new start.  The address rejects them
-        one by one (90 of 104 in the first second of such a server, with a service that
-        kept crashing), and each counts against the retry budget.  A refused connection, or
-        an answer that names another instance, reveals the end at once.
+        If a backend server ends and a new run of it takes over the address, calls addressed to
+        the old run would continue to go there until the list names the new one.  They would be
+        rejected one by one (90 of 104 in the first second of such a server, with a service
+        that kept crashing), and each counts against the retry budget.  A refused connection,
+        or an answer that names another instance, reveals the end at once.
         """
         self._ended = ended
         return self._effective_state()
@@ -109,9 +110,9 @@
 
         Notes
         -----
-        A draining backend server passes its health checks for a while, or always, and would
-        get calls after it announced that it leaves.  The list therefore decides whether it
-        leaves, and the health checks whether it is alive.
+        A draining backend server passes its health checks for a while, or throughout, and
+        would get calls after it has announced that it is leaving.  The list therefore decides
+        whether it is draining, and the health checks whether it is alive.
         """
         if self.node_leaves:
             return self._state
--- a/caperstack/admission/tracker.py
+++ b/caperstack/admission/tracker.py
@@ -126,7 +126,7 @@
         self._cold.resize(per_second, cold_seconds)
 
     def note_instance(self, instance):
-        """Record which instance has answered; if it is another one, the assigned one has ended."""
+        """Record which instance has answered; if it isn't the assigned one, that one has ended."""
         if instance == self._status.instance:
             self._watch.record_response()
         if instance and self._status.instance:
@@ -168,10 +168,10 @@
 
         Notes
         -----
-        The start time distinguishes a restart under the same instance name.  By name alone,
-        calls would wait for slots that the previous run held, use connections that it had
-        open, and be refused for failures of the previous run.  Calls that ran there
-        end as `Unknown`, not as `NotRun`.
+        The start time reveals a restart under the same instance name.  If only names were
+        compared, calls would wait for slots that calls of the previous run held, use its
+        connections, and be refused for its failures.  Calls that ran there end as `Unknown`,
+        not as `NotRun`.
         """
         status = self._status
         if (instance, born_ms, service) == (status.instance, status.born_ms, status.service):
@@ -197,8 +197,8 @@
         self._client.restart()
         if self._refresh is not None:
             self._expect_reading()
-        # Waiting calls must not be addressed to the new instance: if the address now belongs
-        # to another service, they would run there.
+        # Waiting calls must not be sent to the new instance: if the address now belongs to
+        # another service, they would run there.
         reason = "backend server is of another service" if moved else "backend server started anew"
         self._gate.refuse_all(reason)
 
@@ -224,19 +224,19 @@
         self._listeners.append(listener)
 
     def expect_slowdown(self, refresh=None):
-        """Defer calls until the first reading of the host's slowdown, which is now polled.
+        """Defer calls until the first reading of the host's slowdown, since polling begins.
 
         Parameters
         ----------
         refresh : callable, optional
-            ``await refresh()`` takes another reading at once.
+            ``await refresh()`` takes a reading at once.
         """
         self._refresh = refresh
         self._expect_reading()
 
     def _expect_reading(self):
         self._slowdown.expect_reading()
-        # If none comes in time, the calls that wait for it start without one.
+        # If no reading arrives in time, the calls that wait for it start without one.
         asyncio.get_running_loop().call_later(FIRST_READING_SECONDS, self._gate.start_waiting)
 
     def set_slowdown(self, slowdown):
