--- a/caperstack/admission/tracker.py
+++ b/caperstack/admission/tracker.py
@@ -38,7 +38,7 @@
         self._breaker = CircuitBreaker()
         self._published = 0
         self._watch = CrashDetector(client, self._status)
-        self._watch.listen(self._on_end)
+        self._watch.listen(self._on_crash)
         self._refresh = None
         self._metrics = None
         self._events = None
@@ -202,16 +202,19 @@
         reason = "backend server is of another service" if moved else "backend server started anew"
         self._gate.refuse_all(reason)
 
-    def _on_end(self, end):
+    def _on_crash(self, crash):
         self._metrics.count("backend_ends")
         self._suspects.record_crash(
-            end.number, [work.fingerprint for work in end.pending_calls.values()]
+            crash.number, [pending.fingerprint for pending in crash.pending_calls.values()]
         )
         self._events.log_state(
             "backend server ended",
-            instance=end.instance,
-            end=f"{end.number:016x}",
-            at_work={work.request_id: work.fingerprint.text for work in end.pending_calls.values()},
+            instance=crash.instance,
+            end=f"{crash.number:016x}",
+            at_work={
+                pending.request_id: pending.fingerprint.text
+                for pending in crash.pending_calls.values()
+            },
         )
         self.set_state(self._status.set_ended(True))
 
