--- a/caperstack/admission/arrivals.py
+++ b/caperstack/admission/arrivals.py
@@ -7,7 +7,7 @@
 
 #: Calls with less time left than this share of their route's service time are refused. They
 #: would occupy slots, and with a spread of service times of 0.3 fewer than one in a hundred
-#: would end in time. Such calls are common, since callers retry with as little as a tenth of
+#: would end in time. Such calls occur because callers retry with as little as a tenth of
 #: their time left.
 MIN_TIME_LEFT_SHARE = 0.5
 
--- a/caperstack/admission/gate.py
+++ b/caperstack/admission/gate.py
@@ -80,8 +80,8 @@
 
         Notes
         -----
-        While the rate limit for a cold server lets no further call start, this is the number
-        of running calls.
+        While the rate limit for a cold server lets no further call start, the limit is lowered
+        to the number of running calls, but not below 1.
         """
         if self._cold.wait() > 0:
             return max(1, min(self._running, self._limit.limit))
@@ -246,7 +246,7 @@
 
     def _expected_wait(self, call, service_seconds):
         # While the host is in a slow phase, calls are deferred and slots stay free. All calls
-        # that arrive meanwhile start in them once the phase ends.
+        # that arrive meanwhile share these slots once the phase ends.
         free = self._limit.limit - self._running
         before = self._queue.ahead_of(call, service_seconds)
         ahead = max(0, before + 1 - free)
--- a/caperstack/admission/tests/test_cold.py
+++ b/caperstack/admission/tests/test_cold.py
@@ -61,7 +61,7 @@
         self.assertGreater(len(starts), 5 * 0.85 * BOUND)
 
     def test_server_that_turns_cold_is_not_overloaded(self):
-        """A warm server gets 40 calls a second and turns cold: earlier starts count."""
+        """A warm server gets 40 calls a second and turns cold; its earlier starts must count."""
         self.limit.set_remaining(0.0)
         cold_at = self.time + 2.0
         starts = self.start_all(
@@ -71,7 +71,7 @@
         self.assertLessEqual(max_starts_in_a_second(cold), BOUND)
 
     def test_server_that_turns_cold_again_is_not_overloaded(self):
-        """A server due to be warm has turned cold again: it would get twice the bound."""
+        """If a server that should be warm by now is cold again, it must not get twice the bound."""
         end = self.time + 0.1
         starts = self.start_all(
             0.1, 0.001, lambda: self.limit.set_remaining(max(0.001, end - self.time))
@@ -87,7 +87,7 @@
         self.assertFalse(self.limit.cold)
 
     def test_server_without_reports_for_long_counts_as_cold(self):
-        """The health path hangs while calls are answered, and the server turns cold."""
+        """The server may turn cold while its health path hangs and calls are still answered."""
         self.limit.set_remaining(0.0)
         starts = self.start_all(3.0, 0.001)
         self.assertLessEqual(max_starts_in_a_second(starts[-20:]), BOUND)
@@ -103,7 +103,7 @@
         self.assertEqual(limit.wait(), 0.0)
 
     def test_server_that_turned_cold_after_process_start_has_no_unknown_calls(self):
-        """After a power failure all start together: calls are refused though none were sent."""
+        """After a power failure all start together; nothing was sent, so no call may be refused."""
         limit = ColdLimit()
         limit.resize(BOUND, 3.0)
         self.time += 0.3
@@ -213,8 +213,9 @@
         return run_virtual(played), ended
 
     def test_cold_server_is_not_overloaded_and_excess_calls_are_refused_at_once(self):
-        """At twice the sustained rate, the server crashes or callers wait until their deadline.
+        """Callers send twice the rate that the server sustains.
 
+        The server must not crash, and refused callers must not wait until their deadline.
         Without the limit it gets 34 calls in a second and sustains 17.
         """
         server, ended = self.play(34.0, 3.0, 10.0)
--- a/caperstack/admission/tests/test_knee.py
+++ b/caperstack/admission/tests/test_knee.py
@@ -61,12 +61,11 @@
 
     def test_work_slowed_by_other_causes_does_not_move_the_limit(self):
         # All calls take three times as long for a while, since their nested calls wait
-        # elsewhere.  That is no sign of too high a concurrency.
+        # elsewhere.  The limit must not be lowered for that.
         knee, _ = self.learnt(11, 0.8, drift=lambda number: 3.0 if number // 500 % 2 else 1.0)
         self.assertEqual(knee.limit, 8)
 
     def test_limit_above_the_knee_is_lowered_within_600_starts(self):
-        # A limit above the knee is lowered within a few hundred starts.
         knee = Knee(11, 9)
         OverloadedServer(11, 0.8).run(knee, 600)
         self.assertEqual(knee.limit, 8)
--- a/caperstack/admission/tests/test_owner.py
+++ b/caperstack/admission/tests/test_owner.py
@@ -104,7 +104,7 @@
             task.cancel()
 
     async def test_call_without_its_body_is_not_run_and_releases_its_slot(self):
-        """The entry with the body is lost: the call runs without it, or its slot leaks."""
+        """If the body cannot be fetched, the call must not run without it or leak its slot."""
 
         async def lost(_limit):
             raise PeerError("connection lost", step="body")
@@ -118,7 +118,7 @@
         self.assertEqual((self.client.started, self.owner.idle), ([], True))
 
     async def test_body_is_fetched_only_when_the_call_starts(self):
-        """A waiting call has its body transferred although it may never run."""
+        """The body of a waiting call must not be transferred, since the call may never run."""
         brought = []
 
         async def fetch(_limit):
@@ -139,7 +139,7 @@
         await asyncio.gather(*running)
 
     async def test_evacuated_zone_refuses_new_and_waiting_calls_and_lets_running_ones_end(self):
-        """Calls continue to start in an evacuated zone, or running calls are lost."""
+        """No call may start in an evacuated zone, and no running call may be lost."""
         running = [self.start_call(number) for number in (1, 2)]
         waiting = self.start_call(3)
         await self.run_pending()
@@ -427,8 +427,8 @@
         self.assertFalse(any(isinstance(outcome, NotRun) for outcome in outcomes))
 
     async def test_servers_without_load_report_do_not_count_as_healthy(self):
-        # As in the test before, with fifty further servers of which this node has no load
-        # report.  Counted as healthy, they would make the circuit breaker open.
+        # The servers with a load report fail as often as this one, and fifty others have none.
+        # If those counted as healthy, the circuit breaker would open.
         self.others = [self.server(host, 0.8, 10) for host in "abc"]
         self.others += [self.server(f"far-{number}", 0.0, None) for number in range(50)]
         outcomes = [await self.run_failing_call(number) for number in range(30)]
@@ -452,8 +452,8 @@
         return asyncio.create_task(self.owner.run(call))
 
     async def test_call_is_deferred_while_the_host_is_slowed(self):
-        # In a slow phase of 300 ms, a listing would take four times as long to its end; it
-        # ends sooner if it starts after the phase.
+        # A listing that starts in a slow phase of 300 ms takes four times as long; it ends
+        # sooner if it starts after the phase.
         await self.set_service_time(0.3)
         self.owner.set_slowdown(1.0)
         self.owner.set_slowdown(4.0)
@@ -520,7 +520,7 @@
             task.cancel()
 
     async def test_late_call_refused_for_lack_of_a_slot_gets_a_long_retry_delay(self):
-        """Callers retry at once, are refused each time and give up before a slot is free."""
+        """Callers that retry at once are refused each time and give up before a slot is free."""
         await self.set_service_time(0.05)
         tasks = [self.start_call(1), self.start_call(2)]
         await self.run_pending()
