--- a/caperstack/bench/torture.py
+++ b/caperstack/bench/torture.py
@@ -146,10 +146,10 @@
         verdict.outcomes.update(result.outcome for result in record.tries)
         name = record.planned.name
         idempotent = record.planned.kind.idempotent
-        told = {result.outcome for result in record.tries}
+        outcomes = {result.outcome for result in record.tries}
         if runs[name] > 1 and not idempotent:
             broken["doubled"].append(name)
-        if runs[name] and told == {"not-run"}:
+        if runs[name] and outcomes == {"not-run"}:
             broken["false not-run"].append(name)
         for result, started, ended in zip(record.tries, record.started, record.ended, strict=True):
             if not runs[name] and result.status == 200:
