--- a/caperstack/calls/dialect.py
+++ b/caperstack/calls/dialect.py
@@ -9,7 +9,8 @@
 #: Longest time for which one response can declare its server cold, in seconds.
 MAX_COLD_SECONDS = 3600.0
 
-#: Number of leading digits of the cold header that are parsed; the rest is ignored.
+#: Number of leading digits of the cold header that are parsed.  A longer number without
+#: leading zeros exceeds `MAX_COLD_SECONDS` in any case.
 MAX_COLD_DIGITS = 9
 
 
@@ -70,7 +71,7 @@
     headers : list of (str, str)
         Headers of a response of the health path.
     dialect : Dialect
-        Gives the name of the header; if the name is empty, every server is warm.
+        Gives the name of the header; if the name is empty, the result is 0.
 
     Returns
     -------
--- a/caperstack/calls/fingerprint.py
+++ b/caperstack/calls/fingerprint.py
@@ -50,16 +50,16 @@
 
     Notes
     -----
-    Of the headers only ``Host`` enters the hash of the request.  The id, the
-    deadline and the connection headers differ between attempts, and clients may
-    set others anew: with a retry counter or a date in the hash, no attempt would
-    be recognised as the same request.
+    ``Host`` is the only header in the hash of the request.  The id, the deadline and
+    the connection headers differ between attempts, and so may other headers that
+    clients set, such as a retry counter or a date.  If the hash included them, no
+    attempt would be recognised as the same request.
     """
     digest = xxhash.xxh3_64()
     for part in (method, headers.get("Host", ""), target):
         digest.update(part.encode("utf-8", "surrogateescape"))
         digest.update(b"\0")
     digest.update(body)
-    who = "\0".join((service, *(headers.get(name, "") for name in CREDENTIALS)))
-    caller = xxhash.xxh3_64_intdigest(who.encode("utf-8", "surrogateescape"))
+    identity = "\0".join((service, *(headers.get(name, "") for name in CREDENTIALS)))
+    caller = xxhash.xxh3_64_intdigest(identity.encode("utf-8", "surrogateescape"))
     return Fingerprint(digest.intdigest() or 1, caller & CALLER_MASK)
--- a/caperstack/calls/headers.py
+++ b/caperstack/calls/headers.py
@@ -50,7 +50,7 @@
     )
 )
 
-#: Ids need to be unique, not secret, so that a generator without system calls suffices.
+#: Ids need to be unique but not secret, so a generator without system calls suffices.
 _random = random.Random()
 
 _REQUEST_ID = re.compile(r"[\x21-\x7e]{1,128}")
@@ -73,7 +73,7 @@
     Notes
     -----
     Drops hop-by-hop headers, headers listed in ``Connection``, and
-    ``Content-Length``, which is set anew for each connection.
+    ``Content-Length``, which is set again for each connection.
 
     References
     ----------
@@ -111,11 +111,12 @@
 
 
 def _hex(count):
+    """Return `count` random bytes in hexadecimal."""
     return f"{_random.getrandbits(8 * count):0{2 * count}x}"
 
 
 def forwarded(headers, remote_ip, host):
-    """Return `headers` with an element for this hop in a single ``Forwarded`` header.
+    """Return `headers` with one ``Forwarded`` header, to which this hop is appended.
 
     Parameters
     ----------
@@ -128,9 +129,9 @@
 
     Notes
     -----
-    ``Forwarded`` replaces three ``X-Forwarded-*`` headers, which cost the backend
-    server as much to parse as all others together.  ``X-Forwarded-*`` headers of
-    an earlier proxy are forwarded unchanged.
+    ``Forwarded`` is used instead of three ``X-Forwarded-*`` headers, which cost the
+    backend server as much to parse as all other headers together.  ``X-Forwarded-*``
+    headers of an earlier proxy are forwarded unchanged.
 
     References
     ----------
@@ -147,4 +148,5 @@
 
 
 def _quotable(text):
+    """Return `text` without the characters that a quoted string would have to escape."""
     return "".join(char for char in text if char not in '"\\')
--- a/caperstack/calls/model.py
+++ b/caperstack/calls/model.py
@@ -25,22 +25,19 @@
 #: must fit into the 63 bits that the codec allows.
 IDS_PER_MICROSECOND = 512
 
-
-#: A host with this slowdown or more takes no call that could run elsewhere: another
-#: tenant uses its processor for some hundred milliseconds.  A listing that starts there
-#: takes four times as long and misses its objective; a refusal costs one exchange of
-#: messages between nodes.
+#: Slowdown from which on a host takes no call that could run elsewhere.  Another tenant
+#: uses its processor for a few hundred milliseconds; a long call that starts there
+#: takes four times as long and misses its objective, while a refusal costs only one
+#: exchange of messages between nodes.
 SLOWED_PACE = 1.8
 
-
-#: Mean time until a slow phase of a host ends, in seconds: half of a phase of 300 ms,
-#: and more because one phase in four directly follows another.
+#: Mean time until a slow phase of a host ends, in seconds.  Half of a phase of 300 ms is
+#: 0.15 s; the mean is higher because one phase in four is directly followed by another.
 SLOW_PHASE_LEFT_SECONDS = 0.2
 
-
 #: Assumed service time of a route without answered calls, as a share of the objective.
-#: Operators set objectives at 2.7 times the baseline service time (220 ms of 600, 290 of
-#: 800, 550 of 1,500 and 55 of 150 in the settings of two sites).
+#: Operators set objectives of 2.7 times the baseline service time: in the settings of
+#: two sites, 600 ms for 220 ms, 800 for 290, 1,500 for 550 and 150 for 55.
 WORK_SHARE = 0.37
 
 
@@ -147,8 +144,8 @@
         ``await withheld.fetch(limit)`` transfers the body if the entry has kept
         it until the call starts; ``None`` if `body` is present.
     notes : list of (float, str)
-        Times and descriptions of what this node did with the call, for the time
-        line.
+        Times and descriptions of what this node did with the call, for the
+        recorded events.
     """
 
     id: int
@@ -220,8 +217,8 @@
     status : int
         HTTP status for the caller.
     end : int
-        Identifies the crash of the backend server that had the call; 0 if the
-        server did not crash, or not because of the call.
+        Identifies the crash of the backend server to which the call was sent; 0 if
+        the server did not crash, or not because of the call.
     """
 
     reason: str
@@ -244,10 +241,10 @@
     -----
     Used until responses of the route have been measured, for example after all
     nodes were killed at once and restarted.  With a fixed estimate of 20 ms for a
-    service time of 220 ms, every owner promised a slot within 37 ms and refused
+    service time of 220 ms, every owner expected a free slot within 37 ms but refused
     after a second, and entries tried another owner after 5 ms.  The objective gives
-    the order of magnitude; the deadline does not, as it is often ten times the
-    service time.
+    the order of magnitude of the service time; the deadline does not, as it is often
+    ten times as long.
     """
     if not call.objective_at or call.objective_at >= call.deadline:
         return 0.0
--- a/caperstack/calls/responses.py
+++ b/caperstack/calls/responses.py
@@ -83,11 +83,12 @@
 
 
 def _retry_after(seconds, fractional_seconds):
-    """Return the value of ``Retry-After``, rounded up to whole seconds as in the standard.
+    """Return the value of ``Retry-After``.
 
     Notes
     -----
-    The minimum is one second, or 0.05 s with fractional seconds.
+    The standard permits whole seconds only: the value is rounded up and at least 1.
+    With fractional seconds it has two decimals and is at least 0.05.
 
     References
     ----------
@@ -108,4 +109,8 @@
 
 
 def _one_line(text):
+    """Return `text` cut to 200 characters, with spaces for all but printable ASCII.
+
+    The result is a valid header value.
+    """
     return "".join(char if 32 <= ord(char) < 127 else " " for char in text)[:200]
