--- a/caperstack/backend/client.py
+++ b/caperstack/backend/client.py
@@ -1,4 +1,4 @@
-"""HTTP client for the backend server: keep-alive connections, no resending."""
+"""HTTP client for the backend server; reuses connections but never resends a request."""
 
 import asyncio
 from dataclasses import dataclass
@@ -17,9 +17,9 @@
 #: Timeout for opening a connection, in seconds.
 CONNECT_SECONDS = 1.0
 
-#: A connection that the backend server dropped while it was idle is reset within this
-#: time after a send, in seconds.  A connection lost later is lost while the server
-#: works on the request.
+#: If a reused connection is lost within this time after a request is sent, in seconds,
+#: and before any response, the backend server is assumed to have dropped it while it was
+#: idle.  A connection lost later is lost while the server works on the request.
 RESET_SECONDS = 0.02
 
 #: Delay before a call that the backend server refused may be retried, in seconds.  The
@@ -122,8 +122,8 @@
 
         Notes
         -----
-        Requests that ran in the previous run of the server get no response any more.
-        What was learnt about its idle connections is discarded.
+        Requests sent before the restart will get no response.  The limit on the reuse
+        of idle connections is reset.
         """
         for connection in list(self._running):
             connection.close()
@@ -138,7 +138,7 @@
         """Send `call` to the backend server and return its outcome.
 
         Cancelling the task closes the connection, which tells the backend server
-        that nobody waits for the response any longer.
+        that the response is no longer needed.
 
         Parameters
         ----------
--- a/caperstack/backend/connection.py
+++ b/caperstack/backend/connection.py
@@ -16,7 +16,8 @@
 
 MAX_HEADER_BYTES = 64 * 1024
 
-#: Number of responses to earlier requests after which the connection is given up.
+#: Number of late responses to earlier requests after which an exchange fails and its
+#: connection is closed.
 MAX_STALE_ANSWERS = 4
 
 #: Time for which an idle connection may be reused if the backend server sends no
@@ -221,7 +222,7 @@
             collector = await self._collect(http, method, request_id)
             if not collector.stale:
                 return self._accept(collector)
-            # A surplus response to an earlier request precedes this one's.
+            # This was a late response to an earlier request; read the next one.
             http = self._http()
             http.finish()
         raise BackendError("answers of other requests", step="answer", peer=self._peer)
@@ -269,10 +270,10 @@
         return collector.answer()
 
     def _check_unframed(self):
-        # A response without a length ends when its connection closes, so that a
-        # server that crashes midway looks like one that finished.  Only a reset
-        # shows as an error.  The dialect tells whether a clean close means that the
-        # response is complete.
+        # A response without a length ends when its connection closes, so a server
+        # that crashes midway looks like one that finished unless the connection is
+        # reset.  The dialect tells whether a clean close means that the response is
+        # complete.
         self._reusable = False
         if not self._dialect.ends_with_connection:
             raise BackendError("answer without a length", step="answer", peer=self._peer)
@@ -280,7 +281,7 @@
             raise BackendError("connection reset", step="answer", peer=self._peer)
 
     def close(self):
-        """Close the connection, which tells the backend server that nobody waits."""
+        """Close the connection, which tells the backend server that nobody awaits a response."""
         if self._stream is not None:
             self._stream.close()
 
--- a/caperstack/backend/monitor.py
+++ b/caperstack/backend/monitor.py
@@ -14,8 +14,8 @@
 #: Timeout of a request to an endpoint, in seconds.
 REQUEST_SECONDS = 1.0
 
-#: Consecutive failed requests after which a backend server counts as down.  It does
-#: not while it answers calls, which prove more than the endpoint.
+#: Consecutive failed requests after which a backend server counts as down, unless it
+#: still answers calls: these are better evidence than the health endpoint.
 MAX_FAILURES = 3
 
 #: Policies that use the load reported by the load endpoint.
@@ -31,6 +31,11 @@
 class BackendMonitor:
     """Poll the health and load endpoints of the node's own backend server.
 
+    Parameters
+    ----------
+    here : caperstack.config.start.StartSettings
+        Paths of the endpoints, and address and service of the backend server.
+
     Notes
     -----
     No other node polls the backend server, so its polling load does not depend on the
@@ -84,7 +89,7 @@
             response = await client.fetch(url, request_timeout=REQUEST_SECONDS)
             document = json.loads(response.body)
         except Exception as error:
-            # Any error of an endpoint counts as one failed request.
+            # The kind of error does not matter: each counts as one failed request.
             self._metrics.count("measuring_failures", kind=type(error).__name__)
             return None
         return document if isinstance(document, dict) else None
--- a/caperstack/backend/probe.py
+++ b/caperstack/backend/probe.py
@@ -15,16 +15,16 @@
 #: backend server answers a probe within 1 ms.
 REFRESH_SECONDS = 0.02
 
-#: Maximum time between probes, in seconds.  Load reports in responses to calls replace
-#: probes, but do not show the server's health.
+#: Maximum time between probes, in seconds.  Load reports in responses to calls make
+#: other probes unnecessary, but do not show the server's health.
 HEALTH_SECONDS = 1.0
 
-#: Consecutive failed probes after which a backend server counts as down.  It does not
-#: while it answers calls, which prove more than the health path.
+#: Consecutive failed probes after which a backend server counts as down, unless it
+#: still answers calls: these are better evidence than the health path.
 MAX_FAILURES = 3
 
 #: Rate of probes of a backend server that reports no load, per second, and number of
-#: probes without a report after which a server is taken for one of these.
+#: probes without a report after which a server is assumed to report none.
 PROBES_PER_SECOND_WITHOUT_LOAD = 2.0
 PROBES_TO_DETECT_LOAD = 5
 
@@ -43,7 +43,10 @@
     -----
     The slowdown of a host changes every few hundred milliseconds, with the load of
     its other tenants.  Only the owner probes the backend server, which is beside it,
-    so that probes cross no availability zone; it sends changes to its peers.
+    so no probe crosses availability zones; the owner sends changes to its peers.
+
+    Unlike `caperstack.backend.monitor.BackendMonitor`, it needs only the status and the
+    headers of one path, as backend servers of the platform send them.
     """
 
     def __init__(self, health_path, rate):
@@ -88,9 +91,9 @@
 
         Notes
         -----
-        Each response to a call reports the load, and with it the slowdown.  When
-        probes did not take that into account, a busy server got 12 redundant probes
-        per second, two thirds of all.
+        Each response to a call reports the load, and with it the slowdown.  Probing
+        at a fixed rate sent 12 redundant probes per second to a busy server, two
+        thirds of all its probes.
         """
         while True:
             reported_at = max(probed_at, self._reported_at)
@@ -102,7 +105,8 @@
     async def refresh(self):
         """Probe now, and wait up to `REFRESH_SECONDS` for the response.
 
-        Concurrent callers share one probe.
+        Concurrent calls of this method share one probe.  It does nothing if the
+        backend server reports no load.
         """
         if not self._reports_load:
             return
--- a/caperstack/backend/reuse.py
+++ b/caperstack/backend/reuse.py
@@ -23,10 +23,11 @@
     Notes
     -----
     A backend server may drop idle connections without closing them, for example
-    after 300 ms.  The next request on such a connection is reset.  If it is not
-    idempotent it fails, since nothing proves that it did not run; else it has to be
-    sent a second time.  After such a loss, connections that were idle for more than
-    half as long as the lost one are not reused for any request for a while.
+    after 300 ms.  The next request on such a connection leads to a reset.  If the
+    request is not idempotent it fails, since nothing proves that it did not run;
+    otherwise it has to be sent a second time.  For a while after such a loss,
+    connections that were idle for more than half as long as the lost one are not
+    reused for any request.
     """
 
     def __init__(self):
--- a/caperstack/backend/tests/test_client.py
+++ b/caperstack/backend/tests/test_client.py
@@ -136,8 +136,8 @@
         self.assertEqual(client.opened, opened + 1)
 
     async def test_restart_fails_running_requests_and_drops_connections(self):
-        # Requests from before a restart of the backend server get no response any
-        # more, and may have run.
+        # Requests sent before a restart of the backend server will get no response,
+        # and may have run.
         client = await self.client_for(GOOD, None, GOOD)
         await client.fetch(make_call())
         running = asyncio.create_task(client.fetch(make_call()))
