--- a/caperstack/callers/exchange.py
+++ b/caperstack/callers/exchange.py
@@ -11,8 +11,8 @@
 
 __all__ = ["DISCARD_BYTES", "Exchange"]
 
-#: Bytes of a refused body that are still received and discarded, so that the caller
-#: can finish sending and reads the response.
+#: Maximum size of a refused body that is still received and discarded, so that the
+#: caller can finish sending and read the response, in bytes.
 DISCARD_BYTES = 1024 * 1024 * 1024
 
 
@@ -48,8 +48,8 @@
 
     def headers_received(self, start_line, headers):
         """Store the head; refuse the request if its declared length is too large."""
-        # Tornado creates this object while the connection is still idle.  There is a
-        # request that a drain must wait for only from here on.
+        # Tornado creates this object while the connection is still idle.  A drain must
+        # wait for it only from here on, as there is a request now.
         self._port.exchanges.add(self)
         self._connection.set_close_callback(self.on_connection_close)
         self.due = deadline_after(self._port.limits.body_seconds)
@@ -95,7 +95,7 @@
             self._respond(response_to(Unknown("node stops", 504)), close=True)
 
     def expire(self):
-        """Close the connection, because it was idle or a request was incomplete too long."""
+        """Close the connection, which was idle, or its request incomplete, for too long."""
         self._port.incomplete.discard(self)
         self._connection.stream.close()
 
@@ -104,9 +104,9 @@
         self._refuse(NotRun(f"body is larger than {bound} bytes", status=413))
 
     def _refuse(self, outcome):
-        # Closing now would reset the connection while the caller still sends, and it
-        # would not read the reason.  The response is sent at once, and the rest of the
-        # body is discarded as it arrives, for a limited time.
+        # Closing the connection now would reset it while the caller is still sending,
+        # and the caller would not read the reason.  The response is sent immediately, and
+        # the rest of the body is discarded as it arrives, for a limited time.
         self._parts.clear()
         self._respond(response_to(outcome, self._port.fractional_seconds), close=True, finish=False)
 
--- a/caperstack/callers/port.py
+++ b/caperstack/callers/port.py
@@ -4,9 +4,7 @@
 from dataclasses import dataclass
 
 from tornado.httpserver import HTTPServer
-from tornado.httputil import (
-    HTTPServerConnectionDelegate,
-)
+from tornado.httputil import HTTPServerConnectionDelegate
 
 from caperstack.addresses import split_address
 from caperstack.callers.exchange import DISCARD_BYTES, Exchange
@@ -58,6 +56,17 @@
         Addresses, limits and backend server of the node.
     dialect : caperstack.calls.dialect.Dialect, optional
         Header names and conventions of the callers.
+
+    Attributes
+    ----------
+    limits : caperstack.config.start.LimitSettings or caperstack.config.node.Limits
+        Limits on bodies and times.
+    exchanges : set of Exchange
+        Requests whose head has arrived and that have no response yet.
+    incomplete : set of Exchange
+        Idle connections, and requests whose body has not arrived completely.
+    draining : bool
+        Whether callers are asked to close their connections.
     """
 
     def __init__(self, here, dialect=None):
@@ -120,13 +129,13 @@
         self._server.stop()
 
     def give_up(self):
-        """Respond to all open requests at once, because the process is about to end."""
+        """Respond to all open requests now, because the process is about to end."""
         for exchange in list(self.exchanges):
             exchange.give_up()
 
     async def _sweep(self):
-        # Tornado's own timeouts cost two timers and two futures per request, a tenth of
-        # its processor time.  A periodic check has the same effect.
+        # Tornado's own timeouts would cost two timers and two futures per request, a tenth
+        # of the request's processor time.  A periodic check has the same effect.
         while True:
             await asyncio.sleep(SWEEP_SECONDS)
             moment = now()
@@ -144,10 +153,11 @@
 
         Notes
         -----
-        If a draining node closed a keep-alive connection just when its caller sends a
-        request, the caller could not know whether the request ran.  A connection in use
-        therefore gets ``Connection: close`` in its next response and is closed by the
-        caller.  The node closes only connections that have been idle for a while.
+        If a draining node closed a keep-alive connection just when the caller sends a
+        request on it, the caller could not know whether the request ran.  Therefore the
+        next response on a connection in use contains ``Connection: close``, and the
+        caller closes it.  The node itself closes only connections that have been idle
+        for a while.
         """
         moment = now()
         for exchange in [e for e in self.incomplete if moment - e.idle_since >= seconds]:
@@ -206,8 +216,8 @@
         if call is None:
             return self._count_outcome(self._no_route(start, headers, identifier), "none"), extra
         if self._pauses.recently_paused():
-            # The time left in a request counts from when it was sent.  After the node
-            # was paused it is unknown how long ago that was.
+            # The time left in the headers counts from the moment when the request was
+            # sent.  After a pause of the node it is unknown how long ago that was.
             return self._count_outcome(NotRun("node was paused", 0.1), call.service), extra
         outcome = await self._outcome(call)
         self._events.call("entry", call, outcome, begun)
@@ -233,8 +243,8 @@
 
     def _no_route(self, start, headers, identifier):
         if not self._settings.known:
-            # A node that has just started knows no routes yet.  Callers would take a
-            # 404 for final.
+            # A node that has just started knows no routes yet.  Callers would not retry
+            # after a 404.
             outcome = NotRun("no settings yet", NO_SETTINGS_SECONDS)
         else:
             outcome = NotRun("no route for this host, method and path", status=404)
@@ -324,7 +334,7 @@
         return Exchange(self._port, request_connection)
 
     def on_close(self, _server_connection):
-        """Do nothing; exchanges are notified of the close themselves."""
+        """Do nothing; tornado notifies each `Exchange` of the close."""
 
 
 def _depth(headers):
--- a/caperstack/callers/waiting.py
+++ b/caperstack/callers/waiting.py
@@ -8,9 +8,10 @@
 #: Ratio between the upper and lower bound of a bucket of times left.
 BUCKET_RATIO = 1.05
 
-#: The highest bucket with at least this share of the calls belongs to first tries, and
-#: so do the adjacent lower buckets with at least as many, because the timeouts of callers
-#: of one kind differ by about a sixth.  The times left of retries spread more widely.
+#: First tries are the calls in the highest bucket with at least this share of all calls,
+#: and in the adjacent lower buckets with at least this share, because the timeouts of
+#: callers of one kind differ by about a sixth.  The times left of retries are spread
+#: over a wider range.
 FIRST_TRY_SHARE = 0.1
 
 #: Number of calls of a route before retries are estimated.
@@ -58,9 +59,10 @@
     refusal can rarely meet it.  A retry has less time left than the first tries
     of the same route, and the difference is how long its caller has waited.
 
-    Buckets have a constant ratio, not a constant width.  With buckets of 50 ms, first
-    tries with 1.3 to 1.5 s left were taken for retries that had waited for up to 0.2 s
-    of an objective of 0.6 s, and a retry with 0.2 s left of 0.4 s for a first try.
+    The bounds of the buckets have a constant ratio instead of a constant difference.
+    With buckets of 50 ms, first tries with 1.3 to 1.5 s left were taken for retries that
+    had waited for up to 0.2 s of an objective of 0.6 s, and a retry with 0.2 s left of a
+    timeout of 0.4 s was taken for a first try.
 
     Examples
     --------
