--- a/caperstack/platform/boot.py
+++ b/caperstack/platform/boot.py
@@ -16,7 +16,7 @@
 
 #: The slots and connections assumed for a backend server until the store has its own.
 INITIAL_SLOTS = 8
-INITIAL_CONNECTIONS = 64
+MAX_CONNECTIONS = 64
 
 #: The concurrency limit as a share of the slots.  The platform's backend servers slow down
 #: when nearly all slots are in use, but not while at most four fifths of them are.
@@ -201,7 +201,7 @@
         peer_address=f"{boot.ip}:{boot.ports[0]}",
         operator_address=f"{boot.ip}:{boot.ports[0] + METRICS_PORT_OFFSET}",
         backend=Backend(
-            boot.backend_address, boot.service, INITIAL_SLOTS, SLOTS_SHARE, INITIAL_CONNECTIONS
+            boot.backend_address, boot.service, INITIAL_SLOTS, SLOTS_SHARE, MAX_CONNECTIONS
         ),
         limits=Limits(
             bodies_bytes=boot.limits.memory_mb * 1024 * 1024 // 4,
