--- a/caperstack/platform/__main__.py
+++ b/caperstack/platform/__main__.py
@@ -21,12 +21,12 @@
 EXIT_BAD_SETTINGS = 2
 STANDARD_OUTPUT = 1
 
-#: How often the file of the start settings is checked, in seconds; it may change without a
-#: signal.
+#: The interval between checks of the file of the start settings, in seconds.  The file may
+#: change without a signal to the node.
 RELOAD_SECONDS = 1.0
 
 #: How long a stopping node still accepts callers, and calls for its backend server, in
-#: seconds: the platform checks readiness each second and redirects callers after two
+#: seconds.  The platform checks readiness each second and redirects callers only after two
 #: failed checks.
 OPEN_SECONDS = 2.6
 
@@ -37,7 +37,7 @@
         description=(
             "Run a node of the load balancer beside one backend server of the platform. The "
             f"environment variable {BOOT_VARIABLE} names the file of its start settings. SIGTERM "
-            "drains the node, SIGHUP makes it read the file again."
+            "drains and stops the node; SIGHUP makes it read the file again."
         ),
     )
     parser.add_argument("--check", action="store_true", help="validate the settings and exit")
--- a/caperstack/platform/assemble.py
+++ b/caperstack/platform/assemble.py
@@ -30,8 +30,8 @@
 
 __all__ = ["assemble"]
 
-#: The most recent events that are kept in memory, to inspect a running node; the log has all
-#: of them.  3,000 events would take 1 MB, and the platform charges for memory.
+#: The number of most recent events that are kept in memory, to inspect a running node; the
+#: log has all of them.  3,000 events would take 1 MB, and the platform charges for memory.
 RING_EVENTS = 200
 
 
--- a/caperstack/platform/boot.py
+++ b/caperstack/platform/boot.py
@@ -14,16 +14,19 @@
 
 __all__ = ["Boot", "ColdBound", "boot_path", "parse_boot", "read_boot"]
 
-#: The slots and connections assumed for a backend server until the store has its own.
+#: The number of slots assumed for a backend server until its entry in the store is known.
 INITIAL_SLOTS = 8
+
+#: The maximum number of calls in progress at the backend server.  The ``maxConnections`` of its
+#: service in the store does not change it.
 MAX_CONNECTIONS = 64
 
 #: The concurrency limit as a share of the slots.  The platform's backend servers slow down
 #: when nearly all slots are in use, but not while at most four fifths of them are.
 SLOTS_SHARE = 0.8
 
-#: How long before the platform kills the process the drain ends, in seconds: a slow host
-#: needs this time to answer the open calls and to stop the node's services.
+#: The time between the end of the drain and the moment when the platform kills the process,
+#: in seconds.  A slow host needs it to answer the open calls and to stop the services.
 KILL_MARGIN_SECONDS = 0.8
 
 #: The offset of the metrics port from the first port of the range, which is the peer port.
@@ -50,7 +53,7 @@
     region: str
     listen: _Listen
     ports: list[int] = msgspec.field(name="portRange")
-    # The backend server beside this node and its service.
+    # The address of the backend server beside this node, and its service.
     backend_address: str = msgspec.field(name="appAddress")
     service: str
     store: _Store = msgspec.field(name="platformSettings")
@@ -92,7 +95,8 @@
     ready_address, store_address : str
         The ``ip:port`` of the readiness check and of the store.
     allowance : caperstack.routing.budgets.FleetAllowance
-        The budget, per service, of all nodes together for requests beyond first attempts.
+        The budget of all nodes together, per service, for retries and other additional
+        attempts.
     drain_timeout_seconds : float
         How long the node may drain after SIGTERM.
     cold_bound : ColdBound
@@ -165,7 +169,7 @@
     except (msgspec.MsgspecError, ValueError) as error:
         raise ConfigurationError(str(error), step="start settings") from None
     if len(boot.ports) != 2 or boot.ports[1] - boot.ports[0] < METRICS_PORT_OFFSET:
-        reason = "needs a first and a last port, two ports at least"
+        reason = "must be the first and the last of at least two ports"
         raise ConfigurationError(reason, step="start settings", peer="portRange")
     return Boot(
         here=_here(boot),
--- a/caperstack/platform/entries.py
+++ b/caperstack/platform/entries.py
@@ -18,14 +18,14 @@
 #: The permitted instance names; a name is sent in a header without escaping.
 INSTANCE_PATTERN = re.compile(r"[A-Za-z0-9._~-]{1,100}")
 
-#: More slots than this are not from a backend server; real ones have 3 to 300.
+#: The maximum number of slots in a valid entry; real backend servers have 3 to 300.
 MAX_SLOTS = 100_000
 
 #: The highest valid start time, in milliseconds since 1970: the year 2286.
 MAX_BORN_MS = 10**13
 
-#: The most instances whose start time is remembered: over three days of replacements for
-#: a fleet of 1,100 servers that are all replaced each day.
+#: The maximum number of instances whose start time is remembered.  They suffice for over
+#: three days if all servers of a fleet of 1,100 are replaced each day.
 MAX_START_TIMES = 4096
 
 _Slots = Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
--- a/caperstack/platform/fleet.py
+++ b/caperstack/platform/fleet.py
@@ -45,9 +45,9 @@
         self._members = kernel.find("members")
         self._owner = kernel.find("owner")
         # The server gets no call until it is listed.  Its address may have been reused by
-        # a server of another service while the start settings still name the old one; as
-        # no instance is known yet that the calls could name, the other service would run
-        # calls that no configuration routes to it.
+        # a server of another service while the start settings still name the old one.  No
+        # instance name is known yet with which calls could be addressed, so the other
+        # service would run calls that no configuration routes to it.
         self._owner.set_listed(False)
         self._settings.listen(self._on_change)
 
@@ -56,7 +56,7 @@
 
     @property
     def registered(self):
-        """Whether the backend server beside this node has been listed."""
+        """Whether an entry of the backend server beside this node has been applied so far."""
         return self._registered
 
     @property
@@ -172,5 +172,6 @@
         self._registered = True
         self._owner.assign(entry.instance, entry.service, entry.born_ms)
         self._owner.resize(entry.slots)
-        # No call before the configuration is known, as it holds the limits of the service.
+        # The configuration holds the limits of the service, so the server gets no call before
+        # it is known.
         self._owner.set_listed(not entry.leaving and self.configuration is not None)
--- a/caperstack/platform/items.py
+++ b/caperstack/platform/items.py
@@ -17,8 +17,8 @@
 
 IDEMPOTENT_BY_KIND = {"idempotent": True, "non_idempotent": False}
 
-#: The rate of health checks, per second, for a server whose answers to calls do not show its
-#: slowdown.
+#: The rate of probes of the health path, per second, while no answer to a call shows the
+#: slowdown; a server that never reports its load is probed less often.
 MEASURING_PER_SECOND = 12.0
 
 
@@ -131,7 +131,7 @@
 
     @property
     def measuring_per_second(self):
-        """The rate of health checks, per second."""
+        """The rate of probes of the health path, per second."""
         return MEASURING_PER_SECOND
 
     def parse(self, key, document):
@@ -158,9 +158,10 @@
 
         Notes
         -----
-        A store that is restored from an older copy shows servers that have left since,
-        and shows as ready servers that have begun to drain.  If a node took such an entry
-        from the store, or from a peer that has just started, calls would go there again.
+        A store that is restored from an older copy lists servers that have left since
+        the copy was made, and lists draining servers as ready.  If a node accepted such an
+        entry from the store, or from a peer that has just started, calls would be sent to
+        these servers again.
         """
         if held.path == CONFIGURATION_KEY:
             # It is ordered by its version, which is not a revision of the store.
--- a/caperstack/platform/reader.py
+++ b/caperstack/platform/reader.py
@@ -38,13 +38,16 @@
 #: A gap between reads longer than this means that the store was unreachable.
 OUTAGE_SECONDS = 3.0
 
-#: The prefix of all keys.  A store whose values take no more than this many bytes is
-#: read with one call instead of two, since the platform charges by the call.
+#: The common prefix of all keys.
 ALL_KEYS_PREFIX = ""
+
+#: If all values together take at most this many bytes, the store is read with one call
+#: instead of two, since the platform charges by the call.
 MAX_SINGLE_READ_BYTES = 48 * 1024
 
-#: The most foreign entries that are logged, one line each, and the most characters of
-#: the reason in a line.
+#: The maximum number of foreign entries that are logged, one line each, and the maximum
+#: length of the reason in a line.  An entry is foreign if no backend server can have
+#: written it.
 MAX_LOGGED_FOREIGN = 200
 MAX_REASON_CHARS = 200
 
@@ -165,9 +168,9 @@
 
         Notes
         -----
-        Such a node has to read the store itself.  When all hosts started together, 73
-        hosts made 680 calls before the first request.  Stale reads cost a tenth, and
-        until the server is listed they only decide which peers to connect to.
+        Such a node has to read the store itself: when all hosts started together, 73
+        hosts made 680 calls before the first request.  It uses stale reads, which cost a
+        tenth, since until the server is listed they only decide which peers to connect to.
         """
         return self._read_at is not None and not self._fleet.registered
 
@@ -221,7 +224,10 @@
         self._delete_missing(EVACUATIONS_PREFIX, marks, read.revision)
 
     def apply_change(self, item):
-        """Apply one item that an operator wrote or deleted; ignore keys of other kinds."""
+        """Apply one item that an operator wrote or deleted.
+
+        Other kinds of keys, and a deletion of the configuration, are ignored.
+        """
         if item.key.startswith(EVACUATIONS_PREFIX):
             # The key names the zone; the value is ignored.
             document = None if item.deleted else {}
@@ -230,13 +236,13 @@
             self._apply_configuration(item)
 
     def _apply_configuration(self, item):
-        """Offer the configuration to the settings, ordered by its version.
+        """Pass the configuration to the settings, with its version as the revision.
 
         Notes
         -----
         The store's revision cannot order configurations: a store that loses its last
-        writes assigns their revisions again, so that new configurations come at
-        revisions that were seen before.  Operators raise the version with each
+        writes assigns their revisions again, so that a new configuration may have a
+        revision that was seen before.  Operators raise the version with each
         configuration, independently of the store.
         """
         value = item.value or b""
@@ -256,7 +262,7 @@
         self._settings.take(item.key, version, document, "store")
 
     def _delete_missing(self, prefix, present, revision):
-        """Delete all settings under `prefix` whose keys are not in `present` at `revision`."""
+        """Delete, as of `revision`, all settings under `prefix` whose keys are not in `present`."""
         for held in self._settings.held():
             missing = held.path.startswith(prefix) and held.path not in present
             if missing and not held.deleted:
--- a/caperstack/platform/store.py
+++ b/caperstack/platform/store.py
@@ -17,7 +17,8 @@
 
 __all__ = ["StoreChanges", "StoreClient", "StoreItem", "StoreRead"]
 
-#: The timeout of a call.  An answer usually takes 4 ms and on bad days 60 times that.
+#: The timeout of a call, in seconds.  An answer usually takes 4 ms, but 60 times as long when
+#: the store is slow.
 CALL_TIMEOUT_SECONDS = 1.0
 
 #: A page has at most 1 MB, which base64 and JSON enlarge.
@@ -29,7 +30,8 @@
 #: The HTTP status if the store no longer keeps the changes that a watch asks for.
 HISTORY_GONE = 410
 
-#: The most pages of one read; more of them mean a fault, such as pages without end.
+#: The maximum number of pages of one read.  A store that sends more is faulty: it may, for
+#: example, never send a last page.
 MAX_PAGES = 200
 
 
@@ -101,8 +103,8 @@
     items : list of StoreItem
         The items, in the order of their keys.
     revision : int
-        The store's revision at the first page, at which items that are missing from the read
-        had been deleted.
+        The store's revision at the first page; deletions of items that are missing from the
+        read are applied as of this revision.
     """
 
     items: list
@@ -265,8 +267,8 @@
 
 
 def _store_item(item, era):
-    # A value that is not base64 must not fail the whole read: as long as it was stored, no
-    # node would learn of any other server.
+    # A value that is not base64 must not fail the whole read; otherwise no node would learn of
+    # changes to any other server as long as it is stored.
     try:
         value = base64.b64decode(item.value, validate=True)
     except ValueError:
--- a/caperstack/platform/watch.py
+++ b/caperstack/platform/watch.py
@@ -1,4 +1,4 @@
-"""The long-poll watch with which two nodes of each zone learn of operators' changes at once."""
+"""The long-poll watch by which two nodes of each zone immediately learn of operators' changes."""
 
 import asyncio
 import random
@@ -10,13 +10,12 @@
 
 __all__ = ["OperatorWatch"]
 
-#: How long the store holds one call while there is no change, in seconds.  Each call is
-#: followed by the next, and the platform charges by the call.
+#: How long the store holds one call while there is no change, in seconds.  The calls follow
+#: each other, and the platform charges for each, so a short wait would be expensive.
 WAIT_SECONDS = 15.0
 
-#: An answer without changes that arrives more than this before the end of the wait, in
-#: seconds, is treated as a failure: the calls would otherwise follow each other in a busy
-#: loop.
+#: An answer without changes that arrives more than this time before the end of the wait, in
+#: seconds, is treated as a failure, which prevents a busy loop of calls.
 MIN_EARLY_SECONDS = 1.0
 
 #: The back-off after a failed call, in seconds; the first of several failures is retried at once.
@@ -80,8 +79,8 @@
             except HistoryError as error:
                 self._revision = None
                 self._history_lost = True
-                # The store does answer, so it is read without a back-off, but only once until
-                # a watch succeeds.
+                # The store does answer, so the next attempt follows without a back-off, but
+                # only once until a watch succeeds.
                 immediately, self._retried_at_once = not self._retried_at_once, True
                 await self._back_off(error, immediately)
             except PlatformError as error:
