--- a/caperstack/backend/client.py
+++ b/caperstack/backend/client.py
@@ -69,6 +69,11 @@
     on_report : callable, optional
         Called with each `caperstack.calls.dialect.ServerReport`.
 
+    Attributes
+    ----------
+    opened : int
+        Number of connections opened since the start, failed attempts included.
+
     Notes
     -----
     A request is sent only once.  The entry decides whether it may be sent again,
--- a/caperstack/backend/connection.py
+++ b/caperstack/backend/connection.py
@@ -141,6 +141,13 @@
         Maximum size of a response body, in bytes.
     on_report : callable
         Called with the `ServerReport` of each response, as soon as its head is read.
+
+    Attributes
+    ----------
+    idle_since : float
+        Time of the last response, on the local monotonic clock; 0 before the first.
+    requests : int
+        Number of requests sent.
     """
 
     def __init__(self, address, dialect, max_answer_bytes, on_report):
--- a/caperstack/callers/exchange.py
+++ b/caperstack/callers/exchange.py
@@ -26,6 +26,13 @@
     connection : tornado.httputil.HTTPConnection
         Connection to the caller.
 
+    Attributes
+    ----------
+    idle_since : float
+        Time on the local monotonic clock since which the connection waits for a request.
+    due : float
+        Time until which the request must have arrived: its head at first, then its body.
+
     Notes
     -----
     Tornado calls `headers_received`, `data_received` and `finish` in this order, and
--- a/caperstack/callers/waiting.py
+++ b/caperstack/callers/waiting.py
@@ -104,6 +104,7 @@
         first_tries = _first_tries(buckets, FIRST_TRY_SHARE * total)
         if total >= HALVE_AT_CALLS:
             _halve(buckets)
+        # The bucket directly below those of first tries is counted among them.
         if not first_tries or index >= min(first_tries) - 1:
             return 0.0
         mean = sum(buckets[i].seconds for i in first_tries)
--- a/caperstack/calls/model.py
+++ b/caperstack/calls/model.py
@@ -113,6 +113,10 @@
         Host of the entry node that made the attempt.
     request_id : str
         Identifies the request in headers, logs and events of all hosts.
+    service : str
+        Service whose backend servers may get the call.
+    idempotent : bool
+        Whether the call may run more than once.
     deadline, queue_until : float
         Times on the local monotonic clock: when the caller stops waiting, and
         until when the call may wait for a slot.
