--- a/caperstack/membership/evacuation.py
+++ b/caperstack/membership/evacuation.py
@@ -4,19 +4,20 @@
 
 
 class Evacuation:
-    """Apply the evacuated zones of the settings to the members and to the owner.
+    """Apply the evacuated zones of the settings tree to the members and to the owner.
 
     Notes
     -----
-    The list of zones is part of the settings, so it reaches every node and is
-    reverted in the same way.  An entry selects no member in an evacuated zone.
-    An owner there refuses new calls with proof that they did not run, which also
-    covers entries that have not received the change yet.  Running calls complete.
+    The list of zones is part of the settings tree, so it is distributed to all nodes
+    and reverted like any other setting.  An entry selects no member in an evacuated zone.
+    An owner there refuses new calls and reports that they did not run, so entries
+    that have not received the change yet can retry them elsewhere.  Running calls
+    complete.
 
     Parameters
     ----------
     here : object
-        The settings of this node; its ``zone`` is read.
+        The start settings of this node; its ``zone`` is read.
     """
 
     def __init__(self, here):
--- a/caperstack/membership/hostlist.py
+++ b/caperstack/membership/hostlist.py
@@ -1,4 +1,4 @@
-"""Poll the platform's host list, which lags behind the actual hosts."""
+"""Poll the platform's host list, which lags behind the actual state of the hosts."""
 
 import asyncio
 import json
@@ -87,10 +87,10 @@
     -----
     In a large fleet each node polls less often, so that the total rate is bounded,
     and fetches the body only if it changed (``If-None-Match``): at 1,100 hosts the
-    list is about 150 kB, thirty times the bytes that a node may spend per second.
+    list is about 150 kB, thirty times a node's traffic budget per second.
 
-    If the list cannot be read, the last one stays in force.  Whether a peer
-    answers takes precedence over any list.
+    If the list cannot be read, the members of the last one are kept.  Whether a
+    peer answers takes precedence over any list.
     """
 
     def __init__(self, address):
--- a/caperstack/membership/members.py
+++ b/caperstack/membership/members.py
@@ -69,13 +69,13 @@
 
     @property
     def leaving(self):
-        """Whether the member is leaving or drains and must get no new calls.
+        """Whether the member is leaving or draining and so must get no new calls.
 
         Notes
         -----
         The host list lags, so it may still show a leaving host as live; new calls
         would go to a server that is about to stop.  Therefore an announcement to
-        leave holds for its incarnation until a newer incarnation is seen.  A
+        leave stays in force until a newer incarnation of the node is seen.  A
         backend server that drains while its node keeps running may return to
         service; there the latest state reported by the owner decides.
         """
@@ -120,7 +120,7 @@
         return self._here
 
     async def start(self, kernel):
-        """Add this node and the peers of the start settings."""
+        """Add this node and the peers that its start settings list."""
         self._events = kernel.find("events")
         self.apply_host_list(self._seeds(), complete=False)
 
@@ -136,8 +136,9 @@
     def listen(self, listener):
         """Call ``listener(member, gone)`` whenever a member is added or removed.
 
-        It is called at once for each present member.  A member that changes its
-        service is reported as removed and then as added.
+        `gone` is whether it was removed.  The listener is called at once for each
+        present member.  A member that changes its service is reported as removed and
+        then as added.
         """
         self._listeners.append(listener)
         for member in self._hosts.values():
@@ -240,7 +241,7 @@
         member.instance = instance
 
     def _change_service(self, member, service):
-        # The backend server of this node now belongs to another service.
+        # Only for the member of this node; other members are dropped and added again.
         self._events.state("service", member.service, service, member.host)
         self._services[member.service].remove(member)
         self._notify(member, True)
--- a/caperstack/membership/order.py
+++ b/caperstack/membership/order.py
@@ -1,4 +1,4 @@
-"""Hosts in hash order, which all nodes compute alike, updated incrementally."""
+"""Hosts in the order of a hash of their names, updated incrementally."""
 
 from bisect import bisect_left, insort
 
@@ -8,12 +8,12 @@
 
 
 def hash_number(text):
-    """Return the 64-bit hash of `text`, by which it is ranked."""
+    """Return the 64-bit hash of `text`, the same on every node."""
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
 class HostOrder:
-    """Host names sorted by a number, updated by bisection.
+    """Host names sorted by a numeric key, updated by bisection.
 
     Parameters
     ----------
@@ -24,6 +24,8 @@
 
     Notes
     -----
+    With the default key all nodes compute the same order.
+
     Sorting again for each change would make every node sort n hosts n times during
     a release that replaces each of n backend servers.  With bisection a change
     costs one insertion or one removal.
@@ -37,15 +39,15 @@
         return len(self._entries)
 
     def add(self, host):
-        """Add a host."""
+        """Insert `host`, which must not be present."""
         insort(self._entries, (self._number(host), host))
 
     def remove(self, host):
-        """Remove a host."""
+        """Remove `host`, which must be present."""
         del self._entries[self.index(host)]
 
     def index(self, host):
-        """Return the position of `host`, 0 for the first."""
+        """Return the position of `host`, which must be present; 0 for the first."""
         return bisect_left(self._entries, (self._number(host), host))
 
     def at(self, index):
--- a/caperstack/membership/subset.py
+++ b/caperstack/membership/subset.py
@@ -4,11 +4,12 @@
 
 __all__ = ["SUBSET_SIZE", "Subset", "subset_of"]
 
-#: Maximum number of members of one service that an entry calls; half of them in its
-#: own zone.  Owners send load updates to the entries that call them, so the traffic
-#: of the fleet grows with this number: with subsets of 24 members in a fleet of 73
-#: hosts every owner sent updates to 72 peers.  With 8 members, each slowed by a noisy
-#: neighbour with probability 1/4, all are slow with probability 1 in 65,000.
+#: Maximum number of members of one service that an entry calls; half of them are in its
+#: own zone if there are enough members inside and outside it.  Owners send load updates
+#: to the entries that call them, so the traffic of the fleet grows with this number:
+#: with subsets of 24 members in a fleet of 73 hosts every owner sent updates to 72
+#: peers.  With 8 members, each slowed by a noisy neighbour with probability 1/4, all are
+#: slow with probability 1 in 65,000.
 SUBSET_SIZE = 8
 
 
@@ -54,14 +55,14 @@
         self._chosen = None
 
     def exclude(self, zones):
-        """Exclude the members in `zones` from the subset."""
+        """Exclude the members in `zones`, and only those, from the subset."""
         if zones != self._excluded:
             self._excluded = zones
             self._chosen = None
 
     @property
     def members(self):
-        """At most `SUBSET_SIZE` members, half in the entry's zone, the rest spread over zones."""
+        """At most `SUBSET_SIZE` members, half in the entry's zone, the rest spread over others."""
         if self._chosen is None:
             self._chosen = [self._members[host] for host in self._choose()]
         return self._chosen
