--- a/caperstack/idempotency/claims.py
+++ b/caperstack/idempotency/claims.py
@@ -1,4 +1,4 @@
-"""The entry's side of idempotency keys: claim before the first dispatch, settle afterwards."""
+"""The entry's side of idempotency keys: claim before the first dispatch, settle after the call."""
 
 import asyncio
 import secrets
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class _KeyClaim:
-    """A claim at the keepers of a key, and how to settle it.
+    """A claim of a key, with what is needed to settle it.
 
     Attributes
     ----------
@@ -57,7 +57,7 @@
     Parameters
     ----------
     here : object
-        The settings of this node; its ``host`` is read.
+        The start settings of this node; its ``host`` is read.
     """
 
     def __init__(self, here):
@@ -161,7 +161,7 @@
 
 
 async def _until_majority(requests):
-    """Return the replies received once a majority grants, or else all replies.
+    """Return the replies received when a majority vouches for its grants, or else all replies.
 
     Notes
     -----
--- a/caperstack/idempotency/keeper.py
+++ b/caperstack/idempotency/keeper.py
@@ -39,7 +39,21 @@
 
 
 class Verdict(IntEnum):
-    """A keeper's answer to a claim."""
+    """A keeper's answer to a claim.
+
+    Attributes
+    ----------
+    GRANTED
+        The key is recorded for this claim.
+    RUNNING
+        Another claim holds the key and has not been settled.
+    RAN
+        A call with the key has run.
+    OTHER_REQUEST
+        The key was claimed for a request with another fingerprint.
+    FULL
+        The keeper records `MAX_RECORDS` keys already.
+    """
 
     GRANTED = 0
     RUNNING = 1
@@ -103,27 +117,28 @@
 
 
 class Keeper:
-    """Grant each key once, and vouch for a grant only if no record can be missing.
+    """Grant each key once, and vouch for the grant only if no record can be missing.
 
     Parameters
     ----------
     here : object
-        The settings of this node; its ``host`` is read.
+        The start settings of this node; its ``host`` is read.
 
     Notes
     -----
     An entry claims a key at its three keepers and runs the call if a majority of
-    them grants the claim *and vouches* for it.  Any two such majorities share a
-    keeper, and a keeper that vouches has kept all records since before the key's
-    first use, so it does not grant the key a second time.  Records are held in
-    memory only.  A keeper vouches only if
+    them grants the claim *and vouches* for it.  A keeper that vouches confirms that
+    it has kept all records since before the key's earliest possible first use.  Any
+    two such majorities share a keeper, which therefore does not grant the key a
+    second time.  Records are held in memory only.  A keeper vouches only if
 
     - it started before the key's earliest possible first use, and
-    - in all membership views that it has had since then, it was a keeper of the
-      key and fewer than a majority of the keepers have been replaced since, and
+    - in each membership view that it has had since then, it was a keeper of the key
+      and fewer than a majority of that view's keepers have been replaced by now, and
     - the entry that claims the key knows the same keepers.
 
-    Pauses and partitions lose no records, so they need no rule here.
+    Pauses and partitions do not make a keeper lose records, so neither needs a
+    condition of its own.
     """
 
     def __init__(self, here):
@@ -187,6 +202,8 @@
         record.expires_at = deadline_after(record.window)
 
     def _drop_expired(self):
+        # Records are dropped in the order of their first claim: an expired one is kept
+        # until all earlier ones have expired.
         current_time = now()
         while self._records:
             name, record = next(iter(self._records.items()))
@@ -194,8 +211,6 @@
                 return
             del self._records[name]
 
-    # -- vouching ---------------------------------------------------------
-
     def _earliest_first_use(self, message, window):
         """Return the earliest time at which the key can have been used first.
 
