--- a/caperstack/operators/metrics.py
+++ b/caperstack/operators/metrics.py
@@ -24,7 +24,7 @@
 
 
 def empty_histogram():
-    """Return an empty histogram of latencies in microseconds; all have the same slots."""
+    """Return an empty histogram of latencies in microseconds; all have the same layout."""
     return HdrHistogram(MIN_MICROSECONDS, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
 
 
@@ -43,9 +43,9 @@
 
     Notes
     -----
-    aioprometheus hashes the labels at each increment, which takes some microseconds
-    several times per call.  `collections.Counter` takes a tenth of that; its values
-    are converted to aioprometheus metrics at a scrape.
+    aioprometheus hashes the labels at each increment, which takes some microseconds,
+    and there are several increments per call.  `collections.Counter` takes a tenth of
+    that time; its values are converted to aioprometheus metrics at a scrape.
     """
 
     def __init__(self, host):
@@ -79,7 +79,7 @@
         self.count("peer_bytes_out_by_kind", size, kind=kind)
 
     def value(self, name, **labels):
-        """Return the value of counter `name`, over all label sets that include `labels`."""
+        """Return the sum of counter `name` over all label sets that include `labels`."""
         wanted = set(labels.items())
         tally = self._counters.get(name, {})
         return sum(number for key, number in tally.items() if wanted <= set(key))
--- a/caperstack/operators/pages.py
+++ b/caperstack/operators/pages.py
@@ -1,4 +1,4 @@
-"""A minimal HTTP server for operator pages, which avoids the memory of a web framework."""
+"""A minimal HTTP server for operator pages, which takes less memory than a web framework."""
 
 from dataclasses import dataclass, field
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """The response to a request of one path."""
+    """The response to a request."""
 
     body: bytes
     status: int = 200
--- a/caperstack/operators/port.py
+++ b/caperstack/operators/port.py
@@ -1,4 +1,4 @@
-"""The operator's port: metrics, health, events, members and settings in force."""
+"""The HTTP interface for operators: metrics, health, events, members and settings in force."""
 
 import json
 
@@ -22,7 +22,7 @@
     Parameters
     ----------
     here : object
-        The settings of this node.
+        The start settings of this node.
     """
 
     def __init__(self, here):
