--- a/caperstack/node/collector.py
+++ b/caperstack/node/collector.py
@@ -1,10 +1,10 @@
-"""Settings of the garbage collector that keep its pauses of the event loop short."""
+"""Garbage collector settings that shorten the pauses it causes in the event loop."""
 
 import gc
 
 __all__ = ["configure_garbage_collector"]
 
-#: Allocations, less deallocations, between two collections of the youngest generation.
+#: Allocations minus deallocations that trigger a collection of the youngest generation.
 YOUNG_GENERATION_THRESHOLD = 20_000
 
 
@@ -13,8 +13,8 @@
 
     Notes
     -----
-    Objects that are alive after the start stay alive.  Scanning them at each
-    collection blocks the event loop for milliseconds and raises the tail latency.
+    Objects that exist after the start live as long as the process.  Scanning them at
+    each collection blocks the event loop for milliseconds and raises the tail latency.
     """
     gc.collect()
     gc.freeze()
--- a/caperstack/node/drain.py
+++ b/caperstack/node/drain.py
@@ -11,7 +11,7 @@
 #: message between zones.
 PEER_NOTICE_SECONDS = 0.2
 
-#: During a drain a caller's connection is closed once it was idle for this long.  A
+#: During a drain a caller's connection is closed once it has been idle for this long.  A
 #: request sent while the connection closes is not read, and its caller can tell.
 CONNECTION_IDLE_SECONDS = 0.5
 
@@ -44,11 +44,11 @@
     -----
     Closing at once would cut off running calls, those of callers (as entry) and
     those of peers (as owner), which would end as "unknown".  Therefore the node
-    first notifies its peers, refuses late calls with proof that they did not run,
+    first notifies its peers, refuses late calls and reports that they did not run,
     and closes connections only when both sides are idle.
 
-    Callers that learn of the drain from a health check keep sending until its next
-    run.  Until ``plan.close_at`` the port accepts their connections, and until
+    Callers that learn of the drain from a health check keep sending until their
+    next check.  Until ``plan.close_at`` the port accepts their connections, and until
     ``plan.refuse_at`` the owner accepts calls, since its backend server keeps
     running and each second without it loses capacity.
     """
--- a/caperstack/node/main.py
+++ b/caperstack/node/main.py
@@ -26,7 +26,8 @@
         description=(
             "Run the load balancer's process beside one backend server. It takes callers' "
             "HTTP requests for any service, and runs, queues or refuses the calls that reach "
-            "its own backend server. SIGTERM or SIGINT drains it: no request in flight is cut."
+            "its own backend server. SIGTERM or SIGINT drains it: "
+            "requests in flight may complete within limits.drain_seconds."
         ),
     )
     parser.add_argument("settings", help="start settings, a JSON file; - for standard input")
