--- a/caperstack/config/node.py
+++ b/caperstack/config/node.py
@@ -1,7 +1,8 @@
 """Settings of a node as plain data classes.
 
-`caperstack.config.start.StartSettings` has the same attributes and validates them.
-A deployment with its own settings format creates these classes instead.
+`caperstack.config.start.StartSettings` has these attributes and more, validates them,
+and has a higher default of ``bodies_bytes``.  A deployment with its own settings format
+creates the classes of this module instead.
 """
 
 from dataclasses import dataclass, field
@@ -13,7 +14,17 @@
 
 @dataclass(slots=True)
 class Backend:
-    """The backend server of the node; ``slots_share`` is as in the start settings."""
+    """The backend server of the node.
+
+    Attributes
+    ----------
+    slots : int
+        Number of calls that the backend server processes at the same time.
+    slots_share : float
+        Maximum concurrent calls as a share of the slots.
+    connections : int
+        Maximum number of connections to the backend server.
+    """
 
     address: str
     service: str
@@ -24,7 +35,21 @@
 
 @dataclass(slots=True)
 class Limits:
-    """Limits on the resources that callers and peers may use in this process."""
+    """Limits on the resources that callers and peers may use in this process.
+
+    Attributes
+    ----------
+    body_bytes : int
+        Maximum size of one request body, and of one response of the backend server.
+    bodies_bytes : int
+        Maximum total size of the request bodies that the port for callers holds.
+    body_seconds : float
+        Time in which a caller must send a whole request after its head.
+    idle_seconds : float
+        Time after which an idle connection of a caller is closed.
+    drain_seconds : float
+        Maximum duration of a drain.
+    """
 
     body_bytes: int = 16 * MEBIBYTE
     bodies_bytes: int = 32 * MEBIBYTE
--- a/caperstack/config/start.py
+++ b/caperstack/config/start.py
@@ -32,9 +32,9 @@
     address: Address
     service: str = Field(min_length=1, max_length=64)
     slots: int = Field(20, ge=1, le=10_000)
-    #: Maximum concurrent calls as a share of the slots.  A slot is idle while a
-    #: response travels to the owner and the next call travels back, a tenth of the
-    #: time under load; slightly more calls than slots keep the slots busy.
+    #: Maximum concurrent calls, as a share of the slots.  Between two calls a slot is
+    #: idle while the response travels to the owner and the next call travels back, a
+    #: tenth of the time under load; slightly more calls than slots keep the slots busy.
     slots_share: float = Field(1.1, gt=0, le=2)
     connections: int = Field(200, ge=1, le=10_000)
     health_path: str = Field("/health", pattern="^/")
@@ -72,7 +72,7 @@
 
 
 class LimitSettings(_Model):
-    """Limits on the resources that callers and peers may use in this process."""
+    """Validated form of `caperstack.config.node.Limits`."""
 
     body_bytes: int = Field(16 * MEBIBYTE, ge=1024, le=64 * MEBIBYTE)
     bodies_bytes: int = Field(96 * MEBIBYTE, ge=1024, le=256 * MEBIBYTE)
--- a/caperstack/config/tree.py
+++ b/caperstack/config/tree.py
@@ -1,4 +1,4 @@
-"""The settings tree: one JSON document per team's subtree, validated as a whole."""
+"""The settings tree: one JSON document per team's subtree, each validated as a whole."""
 
 from enum import IntEnum
 from typing import Literal
@@ -34,11 +34,11 @@
 
 
 class RouteSettings(_Model):
-    """A path prefix of one host, or of all, and how its calls are treated.
+    """A path prefix, for one ``Host`` header or for all, and how its calls are treated.
 
     ``idempotent`` is unset by default: then the method decides (GET, HEAD,
-    OPTIONS and TRACE are safe, everything else is not).  Either ``service`` or
-    ``split``, weights by service, says where the calls go.
+    OPTIONS and TRACE are idempotent, all other methods are not).  Calls go to
+    ``service``, or are distributed by ``split``, which maps services to weights.
     """
 
     path: str = Field(pattern="^/", max_length=512)
@@ -75,14 +75,14 @@
 
 
 class TeamGrant(_Model):
-    """What a parent lets the child subtree of that name claim."""
+    """Path prefixes of routes and the services that a parent lets one child subtree use."""
 
     routes: tuple[str, ...] = ()
     services: tuple[str, ...] = ()
 
 
 class Bounds(_Model):
-    """Ceilings that a parent sets; a child may only set lower ones."""
+    """Upper bounds on settings of a subtree and those below it; the lowest one applies."""
 
     retry_share: float | None = Field(None, ge=0, le=1)
     hedge_share: float | None = Field(None, ge=0, le=0.5)
