--- a/caperstack/node/drain.py
+++ b/caperstack/node/drain.py
@@ -29,7 +29,7 @@
     close_at : float
         From this time the callers' port accepts no new connections.
     end_at : float
-        At this time the wait ends; callers of open requests get an unknown outcome.
+        At this time the wait ends; open requests get an unknown outcome.
     """
 
     refuse_at: float
