--- a/caperstack/idempotency/tests/test_keeper.py
+++ b/caperstack/idempotency/tests/test_keeper.py
@@ -162,7 +162,7 @@
             old = 10**15 - int((WINDOW + MARGIN) * 1e6)
             self.assertFalse(self.cluster.claim("old", 1, born_us=old))
 
-    def test_proof_of_not_run_frees_the_key(self):
+    def test_key_of_a_call_that_did_not_run_is_released(self):
         self.build(3)
         self.assertTrue(self.cluster.claim("key", 1))
         for keeper in self.cluster.keepers.values():
