--- a/caperstack/membership/members.py
+++ b/caperstack/membership/members.py
@@ -241,7 +241,8 @@
         member.instance = instance
 
     def _change_service(self, member, service):
-        # Only for the member of this node; other members are dropped and added again.
+        # The backend server of this node now belongs to another service.  Members of other
+        # nodes are dropped and added again instead.
         self._events.state("service", member.service, service, member.host)
         self._services[member.service].remove(member)
         self._notify(member, True)
