--- a/caperstack/averages.py
+++ b/caperstack/averages.py
@@ -16,7 +16,8 @@
         Time constant over which old samples fade.
     max_weight : float
         Greatest weight of one sample, so that a sample after a long gap does not
-        replace the whole average.
+        replace the whole average.  The first samples, which are averaged with equal
+        weights, may exceed it.
 
     Notes
     -----
--- a/caperstack/clock.py
+++ b/caperstack/clock.py
@@ -16,8 +16,9 @@
     "wall_microseconds",
 ]
 
-#: How long a minimum of the transit offset is used, in seconds.  Host clocks drift
-#: by up to 100 ppm, so that one minute adds at most 6 ms of error.
+#: Length of a window over which the minimum transit offset is taken, in seconds; the
+#: minimum is used in its own window and the next.  Host clocks drift by up to 100 ppm,
+#: which is 6 ms in one minute.
 OFFSET_WINDOW_SECONDS = 60.0
 
 _source = time.monotonic
--- a/caperstack/events/causes.py
+++ b/caperstack/events/causes.py
@@ -10,7 +10,8 @@
 #: How each log line of a node begins; any prefix of a log collector is skipped.
 LINE_START = '{"at_us"'
 
-#: A host on which work takes at least this many times the usual counts as slowed.
+#: Slowdown (how many times its nominal duration work takes on a host) from which a
+#: host counts as slowed.
 SLOWED_PACE = 1.8
 
 #: Worth of a late answer, as a share of the worth of one in time.
@@ -48,7 +49,10 @@
 
     @property
     def cause(self):
-        """Why the request was not answered in time, in a few words; empty if it was."""
+        """Why the request was not answered in time, in a few words; empty if it was.
+
+        The outcome must have been logged, see `reported_at_us`.
+        """
         outcome = self.lines_of("entry outcome")[-1]
         match = _OUTCOME.match(outcome["outcome"])
         result, status, reason = match[1], match[2], match[3]
--- a/caperstack/events/log.py
+++ b/caperstack/events/log.py
@@ -52,10 +52,10 @@
 
     Notes
     -----
-    Lines are of four classes, each with its own limit, so that a burst in one class
-    drops no lines of the others: state changes, failures reported to callers,
-    refusals (limited per reason as well), and all other steps of requests.  Once a
-    second a line reports the dropped lines by kind and reason.
+    State changes, failures reported to callers and all other lines about requests
+    have separate limits, so that a burst of one kind does not use up the limit of the
+    others.  Refusals count towards the limit of requests, and are also limited per
+    reason.  At most once a second a line reports the dropped lines by kind and reason.
 
     Lines that the descriptor does not take yet wait in a bounded buffer; once it is
     full, further lines are dropped and counted.  A reader that stops reading
--- a/caperstack/events/ring.py
+++ b/caperstack/events/ring.py
@@ -79,8 +79,9 @@
 
     Notes
     -----
-    State changes and decisions on calls also go to the log, one line each.  Calls
-    are recorded in the ring only if they were slow or failed, or as a sample.
+    State changes go to the ring and to the log.  Decisions on calls and refusals go to
+    the log only.  The outcome of each call goes to the log; the steps and the outcome
+    go to the ring only if the call was slow, failed or sampled.
     """
 
     def __init__(self, host, log=None, events=MAX_EVENTS):
@@ -106,7 +107,7 @@
             self._log.log_dropped_counts()
 
     def add(self, kind, text, request_id="", service="", ago=0.0):
-        """Add an event that happened `ago` seconds before now."""
+        """Add an event that happened `ago` seconds before now, with its timestamps set back."""
         clock = self.clock.tick()
         back = int(ago * 1e6)
         event = Event(
--- a/caperstack/events/timeline.py
+++ b/caperstack/events/timeline.py
@@ -40,8 +40,9 @@
     Notes
     -----
     Events are sorted by hybrid clock.  Messages between nodes carry its
-    timestamps, so an effect never sorts before its cause, however far apart
-    the wall clocks of the hosts are.
+    timestamps, so an effect does not sort before its cause, however far apart
+    the wall clocks of the hosts are.  The steps of a call are an exception: they are
+    recorded when it ends, with timestamps set back by the time elapsed since.
     """
     events = [event for host in host_events for event in host.events]
     return sorted(events, key=lambda event: (event["clock"], event["host"]))
@@ -53,7 +54,8 @@
     Notes
     -----
     The last column shows how far the wall clock of the host was behind the
-    hybrid clock, which bounds its error against the fastest clock of the fleet.
+    hybrid clock, if by 1 ms or more.  It was at least this far behind the fastest
+    wall clock of the fleet.
     """
     if not events:
         return
--- a/caperstack/pauses.py
+++ b/caperstack/pauses.py
@@ -25,9 +25,10 @@
     Notes
     -----
     If the process is stopped with requests in its socket buffers and resumes
-    seconds later, these requests look fresh.  Their callers have already got
-    another outcome, and a booking would run that nobody waits for.  The overdue
-    periodic check reveals the pause before any of these requests is handled.
+    seconds later, these requests look new.  Their callers have already got
+    another outcome, so the requests would run without anybody waiting for them.
+    The overdue periodic check reveals the pause before any of these requests is
+    handled.
     While the host itself is suspended the monotonic clock stands still and no
     check is overdue, so the suspended time of the host is compared as well.
     """
@@ -50,7 +51,7 @@
         self._task.cancel()
 
     def recently_paused(self):
-        """Return whether the process has just resumed after a pause."""
+        """Return whether the process has just resumed after a pause; log and count a new one."""
         moment = now()
         suspended = suspended_seconds()
         away = moment - self._checked_at + suspended - self._suspended_seconds
