--- a/caperstack/platform/standin/demo.py
+++ b/caperstack/platform/standin/demo.py
@@ -21,8 +21,8 @@
 )
 WORK_SECONDS = {"listings": 0.12, "bookings": 0.15, "rates": 0.03}
 
-#: Every ``SLOW_PHASE_SECONDS`` each host enters a slow phase with the probability
-#: ``SLOW_PHASE_SHARE``, or leaves it; work takes ``SLOW_PHASE_FACTOR`` times longer in it.
+#: Each interval of ``SLOW_PHASE_SECONDS`` is a slow phase of a host with the probability
+#: ``SLOW_PHASE_SHARE``; work takes ``SLOW_PHASE_FACTOR`` times as long in it.
 SLOW_PHASE_SECONDS = 0.3
 SLOW_PHASE_SHARE = 0.25
 SLOW_PHASE_FACTOR = 4.0
@@ -80,7 +80,7 @@
     tasks = []
     end = deadline_after(options.seconds)
     while now() < end:
-        # No calls enter at the first host, since its node is stopped meanwhile.
+        # No calls enter at the first host, because its node is stopped during the run.
         host = rng.choice(fleet.hosts[1:])
         path = rng.choice(("/listings/a", "/listings/b", "/bookings/", "/rates/"))
         tasks.append(asyncio.create_task(_call(fleet, host, path)))
@@ -108,9 +108,9 @@
 
 
 async def _demo(fleet, options, rng):
-    trouble = asyncio.create_task(_disturb_fleet(fleet, options.seconds))
+    disturbance = asyncio.create_task(_disturb_fleet(fleet, options.seconds))
     results = await _send_calls(fleet, options, rng)
-    status = await trouble
+    status = await disturbance
     _print_summary(results)
     _print_request_log(fleet, max(results, key=lambda result: result.seconds))
     twice = [r for r in results if r.path == "/bookings/" and fleet.runs(r.request_id) > 1]
--- a/caperstack/platform/standin/fleet.py
+++ b/caperstack/platform/standin/fleet.py
@@ -169,6 +169,7 @@
         self._ports = dict(
             zip(("outbound", "ready", "peers", "metrics", "backend", "store"), ports, strict=True)
         )
+        # A node serves its metrics at the port after its peer port.
         self._ports["metrics"] = str(int(self._ports["peers"]) + 1)
         self._version = 0
         self._restarts = {}
--- a/caperstack/platform/standin/instance.py
+++ b/caperstack/platform/standin/instance.py
@@ -93,7 +93,8 @@
     ledger : list of Run
         Every request that ran, in the order of their starts.
     seen : list of dict
-        The headers of each request that ran, with its method, target and body.
+        The headers of each request that ran, with its method, target and body, except
+        requests that crashed the server by overload.
     born_ms : int
         Start time of this run of the server, in milliseconds since 1970.
     cancelled : int
--- a/caperstack/platform/standin/modelstore.py
+++ b/caperstack/platform/standin/modelstore.py
@@ -98,7 +98,7 @@
         """Do nothing: there is no connection to close."""
 
     async def read(self, prefix, stale=False):
-        """Return the `StoreRead` of all items under a prefix."""
+        """Return the `StoreRead` of all items under a prefix; `stale` has no effect."""
         items = list(self._items(prefix))
         pages = max(1, -(-len(items) // PAGE_ITEMS))
         revision = self._revision
--- a/caperstack/platform/standin/simulation.py
+++ b/caperstack/platform/standin/simulation.py
@@ -1,4 +1,4 @@
-"""A simulated fleet in virtual time, to measure the traffic among nodes that no call causes."""
+"""A simulated fleet in virtual time, to measure the traffic among nodes without calls."""
 
 import asyncio
 import random
@@ -64,7 +64,7 @@
 
 
 class _NullService:
-    """Stands in for the events, links and peer port, and does nothing."""
+    """Stands in for the services ``events``, ``links`` and ``peer port``, and does nothing."""
 
     def state(self, *_arguments, **_fields):
         """Discard the event."""
@@ -77,7 +77,7 @@
 
 
 class _NullOwner:
-    """Stands in for the owner of a backend server, and does nothing."""
+    """Stands in for the service ``owner``, and does nothing."""
 
     def set_listed(self, listed):
         """Ignore whether the server is listed: no call is queued."""
@@ -193,7 +193,7 @@
         return self._services[name]
 
     async def start(self):
-        """Start all services, with no settings held from before."""
+        """Start all services, without settings from an earlier run."""
         await self.settings.start(self)
         await self.members.start(self)
         self.members.listen(self._on_member)
--- a/caperstack/platform/standin/store.py
+++ b/caperstack/platform/standin/store.py
@@ -57,7 +57,7 @@
     calls : int
         Calls received, including those that failed.
     served : int
-        Range reads that were answered with items.
+        Pages of range reads that were answered.
     watching : int
         Long-poll watches that wait for a change now.
     faults : dict of str to StoreFaults
@@ -224,7 +224,7 @@
         era = self.era
         while True:
             if era != self.era:
-                # The store was restored meanwhile: connections to the lost one are closed.
+                # The store was restored during the watch: close the connection without a response.
                 return 0, None
             if after < self.history_since or after > self._revision:
                 return 410, {"error": "history is gone"}
--- a/caperstack/soak/checks.py
+++ b/caperstack/soak/checks.py
@@ -132,13 +132,13 @@
 
 
 def _fatal_requests_not_blocked(state, runs):
-    """Yield the targets that were still sent to servers after they had crashed three."""
+    """Yield the fatal targets that were sent to servers too often after their third crash."""
     period_limits = [0.0, *sorted(state.kill_all_times), float("inf")]
     for target in state.fatal:
         crashes = sorted(end.at for end in state.fleet.crashes if end.target == target)
         sends = [run for own in runs.values() for run in own if run.target == target]
         for begin, end in pairwise(period_limits):
-            # Killing all nodes loses what they knew, so crashes count from there anew.
+            # Killing all nodes at once loses their record of crashes, so the count starts again.
             own_crash_times = [at for at in crashes if begin < at <= end]
             unblocked = [
                 run
@@ -150,7 +150,10 @@
 
 
 def _must_be_blocked(state, run, crashes):
-    """Return whether the node beside the server should have blocked a fatal request."""
+    """Return whether the node beside the server should have blocked a run of a fatal request.
+
+    `crashes` are the times at which the request had crashed servers, in order.
+    """
     settled = BLOCKED_AFTER_SECONDS + SCHEDULING_SLACK_SECONDS
     host = next(h.ip for h in state.fleet.hosts if run in h.instance.ledger)
     unaffected = not state.fault_active(run.at - settled, run.at, host, store=False)
--- a/caperstack/soak/client.py
+++ b/caperstack/soak/client.py
@@ -13,6 +13,7 @@
 CONNECTION_CLOSED = 0
 CONNECTION_REFUSED = -1
 
+#: The expected body of answers, as `caperstack.platform.standin.instance.Behaviour` has it.
 BODY = b"whole answer"
 
 
--- a/caperstack/soak/faults.py
+++ b/caperstack/soak/faults.py
@@ -95,7 +95,7 @@
     host.node.signal(signal.SIGSTOP)
     await asyncio.sleep(state.rng.choice((0.7, 2.0, 4.0)))
     host.node.signal(signal.SIGCONT)
-    # Its peers correct their view of it within a few heartbeats.
+    # Its peers correct their state of the node within a few pings.
     await asyncio.sleep(1.5)
     window.end = now()
 
@@ -116,7 +116,7 @@
         for window in windows:
             window.end = now()
 
-    fault.__doc__ = f"The store is faulty for all readers or one: {settings}."
+    fault.__doc__ = f"The store is faulty at all of its addresses or at the first: {settings}."
     return fault
 
 
--- a/caperstack/soak/platform.py
+++ b/caperstack/soak/platform.py
@@ -31,15 +31,16 @@
     ("/moving/", 1, False),
 )
 
-#: Share of seeds in which the nodes are never all killed at once.  Killing all of them
-#: every ten seconds would excuse any loss of what the nodes must remember together.
+#: Share of seeds in which the nodes are never all killed at once.  After such a kill, the
+#: nodes are allowed to have lost the state that they share; with one every ten seconds, a
+#: loss for any other reason would not be noticed.
 NO_KILL_ALL_SHARE = 0.5
 
 #: Shortest and longest gap after a fault, in seconds.
 FAULT_GAP_SECONDS = (0.1, 0.8)
 
-#: The same after a fault of the store.  The guarantees that such a fault excuses must hold
-#: again 2.5 s after its end; with a shorter gap they would never be checked.
+#: The same after a fault of the store.  The guarantees that need not hold during such a
+#: fault must hold again 2.5 s after its end; with a shorter gap they would never be checked.
 STORE_FAULT_GAP_SECONDS = (4.0, 6.0)
 
 #: Time within which the fleet must serve all requests again after the last fault, in
--- a/caperstack/soak/state.py
+++ b/caperstack/soak/state.py
@@ -58,6 +58,10 @@
 
     Attributes
     ----------
+    began : float
+        When the soak test began, on the monotonic clock in seconds.
+    faults : Counter
+        How often each fault was injected.
     windows : list of FaultWindow
         When faults may have affected nodes.
     departures : list of Change
@@ -65,7 +69,7 @@
     configurations : list of Change
         The services that paths were moved to.
     problems : list of str
-        Faults seen in the nodes themselves, such as a bad exit status.
+        Failures of the nodes themselves, such as a bad exit status.
     fatal : list of str
         The request targets that crash every server which runs them.
     requests : list of caperstack.soak.client.RequestRecord
