--- a/caperstack/events/ring.py
+++ b/caperstack/events/ring.py
@@ -156,7 +156,7 @@
         self._calls += 1
         elapsed = now() - begun
         successful = isinstance(outcome, Answered) and outcome.status < 500
-        # The entry logs every failure in a class of its own, since the search from a
+        # The entry logs failures under a separate limit, because the search from a
         # request id to the cause of its failure starts with this line.
         write = self._log.line if successful or role != "entry" else self._log.failure
         write(
--- a/caperstack/events/tests/test_log.py
+++ b/caperstack/events/tests/test_log.py
@@ -83,7 +83,7 @@
         self.assertEqual([n["counts"] for n in lines if n["kind"] == DROPPED_LINES_KIND], [counts])
 
     def test_burst_of_other_lines_drops_no_failures(self):
-        """Without a class of its own, the line with the id of a failed request was dropped."""
+        """Without a separate limit, the line with the id of a failed request was dropped."""
         log = LogWriter(self.writing, "h1")
         for number in range(FAILURE_LINES_PER_SECOND):
             for _ in range(3):
--- a/caperstack/soak/tests/test_soak.py
+++ b/caperstack/soak/tests/test_soak.py
@@ -6,8 +6,8 @@
 from caperstack.soak.platform import run_soak
 
 #: With this seed a request that crashes servers is repeated while nodes are killed,
-#: stopped and suspended, and the nodes are never all killed at once.  With suspects
-#: disabled the request still reaches servers, so the test detects that.
+#: stopped and suspended, and the nodes are never all killed at once.  If nodes do not
+#: block requests suspected of crashes, the request still reaches servers and the test fails.
 SEED = 4
 SECONDS = 40.0
 
