--- a/caperstack/soak/faults.py
+++ b/caperstack/soak/faults.py
@@ -200,17 +200,17 @@
     behaviour.cold_bears = COLD_CAPACITY_PER_SECOND
 
 
-def _server_fault(seconds, **behaviour):
+def _server_fault(seconds, **changes):
     async def fault(state):
         behaviour = state.random_host().instance.behaviour
-        defaults = {name: getattr(type(behaviour)(), name) for name in behaviour}
-        for name, value in behaviour.items():
+        defaults = {name: getattr(type(behaviour)(), name) for name in changes}
+        for name, value in changes.items():
             setattr(behaviour, name, value)
         await asyncio.sleep(seconds)
         for name, value in defaults.items():
             setattr(behaviour, name, value)
 
-    fault.__doc__ = f"A backend server is faulty: {behaviour}."
+    fault.__doc__ = f"A backend server is faulty: {changes}."
     return fault
 
 
